--- a/Benchmarks/CompareRateLimits.cpp
+++ b/Benchmarks/CompareRateLimits.cpp
@@ -7,19 +7,19 @@
 
 using namespace RateLimitPlay;
 
-struct NamedWay {
+struct NamedStrategy {
     char const* name;
-    Way way;
+    Strategy strategy;
 };
 
-void print_row(NamedWay const& named, std::size_t boxes, double limit, double demand)
+void print_row(NamedStrategy const& named, std::size_t boxes, double limit, double demand)
 {
     constexpr std::uint64_t seeds = 5;
     std::size_t most = 0;
     double used = 0;
     double used_after_loss = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        auto const result = Play({ boxes, limit, demand, named.way, seed }).run();
+        auto const result = Simulation({ boxes, limit, demand, named.strategy, seed }).run();
         most = std::max(most, result.most_in_window);
         used += result.used / seeds;
         used_after_loss += result.used_after_loss / seeds;
@@ -36,9 +36,9 @@
     for (std::size_t const boxes : { 6, 88, 300 })
         for (double const limit : { 0.2, 1.0, 20.0 })
             for (double const demand : { 1.0, 5.0 })
-                for (auto const& way :
-                    { NamedWay { "unheeded", Unheeded {} }, NamedWay { "equal shares", EqualShares {} },
-                        NamedWay { "few boxes", FewBoxes {} }, NamedWay { "timetable", Timetable {} } })
-                    print_row(way, boxes, limit, demand);
+                for (auto const& strategy :
+                    { NamedStrategy { "unheeded", IgnoredLimit {} }, NamedStrategy { "equal shares", EqualShares {} },
+                        NamedStrategy { "few boxes", FewBoxes {} }, NamedStrategy { "timetable", SlotSchedule {} } })
+                    print_row(strategy, boxes, limit, demand);
     return 0;
 }
--- a/Fuzz/FuzzRecords.cpp
+++ b/Fuzz/FuzzRecords.cpp
@@ -73,7 +73,7 @@
     default: {
         constexpr std::int64_t now = 1'790'000'000'000;
         auto const crash = Membership::decode_record(text, now);
-        if (crash && crash->age > Routing::CrashLedger::memory)
+        if (crash && crash->age > Routing::CrashLedger::retention)
             std::abort();
         break;
     }
--- a/Libraries/LibGateway/ControlRecords.cpp
+++ b/Libraries/LibGateway/ControlRecords.cpp
@@ -85,7 +85,7 @@
     // NOTE: Entries that are missing may be of endpoints that live, as after any return of the store.
     this->returned_at = now;
     this->state.router.store_returned(now);
-    this->state.router.endpoints_in_doubt();
+    this->state.router.mark_endpoints_uncertain();
     this->state.metrics.count_store_restored();
     Log::EventLine("store_restored_from_copy").with("era", this->era()).with("version", this->version()).warning();
     if (this->on_new_era)
@@ -208,7 +208,7 @@
 void ControlRecords::confirm_endpoints(Instant vouched_at)
 {
     this->endpoints_confirmed_at = vouched_at;
-    this->state.router.endpoints_confirmed(vouched_at);
+    this->state.router.confirm_endpoints(vouched_at);
 }
 
 std::optional<Routing::EndpointRecord> ControlRecords::decode_endpoint(Adapter::KeyedRecord const& record)
@@ -240,7 +240,7 @@
 
 void ControlRecords::put_endpoint(Routing::EndpointRecord const& record)
 {
-    if (this->state.router.is_earlier_life(record)) {
+    if (this->state.router.is_earlier_instance(record)) {
         Log::EventLine("endpoint_outdated")
             .with("endpoint", record.incarnation)
             .with("started_at_ms", record.started_at)
@@ -248,9 +248,9 @@
         return;
     }
     if (record.draining)
-        this->departed.left(Routing::life_of(record), monotonic_now());
+        this->departed.left(Routing::instance_of(record), monotonic_now());
     else
-        this->departed.came_back(Routing::life_of(record));
+        this->departed.came_back(Routing::instance_of(record));
     this->journal.put(record);
     if (!this->state.router.put_endpoint(record))
         return;
@@ -270,7 +270,7 @@
     bool const may_come_back = this->returned_at && now - *this->returned_at <= stale_list_time;
     auto const* const known = this->journal.find(incarnation);
     if (known != nullptr && !may_come_back)
-        this->departed.left(Routing::life_of(*known), now);
+        this->departed.left(Routing::instance_of(*known), now);
     if (!this->journal.remove(incarnation))
         return;
     this->state.router.remove_endpoint(incarnation, monotonic_now());
@@ -354,7 +354,7 @@
     }
     if (question.asker_domain.empty() || question.asker_domain == this->failure_domain)
         this->demand_of_askers.take(question.asker, question.work, now);
-    this->state.router.take_totals_of_others(this->demand_of_askers.totals(now), now);
+    this->state.router.apply_totals_of_others(this->demand_of_askers.totals(now), now);
     answer.answer_shares = this->state.router.answer_shares(now);
     return answer;
 }
@@ -376,7 +376,7 @@
     // NOTE: Each failure domain divides the engines by its own demand. One division for all comes too late in bursts,
     // when who asks whom has just changed: long answers then get too few engines for seconds.
     if (relay_domain == this->failure_domain)
-        this->state.router.take_answer_shares(answer.answer_shares, asked_at);
+        this->state.router.apply_answer_shares(answer.answer_shares, asked_at);
     // NOTE: What this box read itself a moment ago may be newer than what the relay knows.
     if (!this->endpoints_confirmed_at || endpoints_vouched_at >= *this->endpoints_confirmed_at)
         this->take_relayed_endpoints(answer, endpoints_vouched_at);
@@ -413,7 +413,7 @@
     this->version_told = std::max(this->version_told, told.configuration_version);
     auto const known_for = told.configuration_known_for.value_or(Core::Duration { 0 });
     if (known_for > this->apply_within)
-        this->state.router.note_due_configuration(told.configuration_version, told_at);
+        this->state.router.note_overdue_configuration(told.configuration_version, told_at);
     else
         this->state.router.note_configuration(told.configuration_version, told_at, told_at - known_for);
 }
--- a/Libraries/LibGateway/CrashNews.cpp
+++ b/Libraries/LibGateway/CrashNews.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-void log_crash(std::string_view event, Routing::CrashReport const& report, Routing::CrashVerdict const& verdict)
+void log_crash(std::string_view event, Routing::CrashReport const& report, Routing::CrashStatus const& verdict)
 {
     Log::EventLine line(event);
     line.with("fingerprint", Routing::to_string(report.request))
@@ -33,9 +33,9 @@
     this->to_store = std::move(to_store);
 }
 
-Routing::CrashVerdict CrashNews::verdict(Routing::RequestFingerprint request) const
+Routing::CrashStatus CrashNews::verdict(Routing::RequestFingerprint request) const
 {
-    auto verdict = this->ledger.verdict(request, monotonic_now());
+    auto verdict = this->ledger.status(request, monotonic_now());
     verdict.is_probed |= this->own_probes.contains(request);
     return verdict;
 }
@@ -64,10 +64,10 @@
 void CrashNews::crashed(Routing::CrashReport const& report)
 {
     auto const now = monotonic_now();
-    if (this->ledger.take(report, Core::Duration { 0 }, now) != CrashLedger::Taken::New)
+    if (this->ledger.apply(report, Core::Duration { 0 }, now) != CrashLedger::Outcome::New)
         return;
     this->metrics.count_crash_report("noted");
-    auto const verdict = this->ledger.verdict(report.request, now);
+    auto const verdict = this->ledger.status(report.request, now);
     log_crash("crash_noted", report, verdict);
     this->announce(Crashed { report, now });
     // NOTE: Only the box that saw the last crash writes it: one call to the store for a refused request.
@@ -79,7 +79,7 @@
 
 void CrashNews::ran_well(Routing::RequestFingerprint request)
 {
-    auto const verdict = this->ledger.verdict(request, monotonic_now());
+    auto const verdict = this->ledger.status(request, monotonic_now());
     if (!this->ledger.clear(request, monotonic_now()))
         return;
     this->clear(request, "own", verdict.crashes);
@@ -103,7 +103,7 @@
             .info();
 }
 
-void CrashNews::answered(Routing::EndpointLife const& endpoint, Routing::AnswerEvidence const& evidence)
+void CrashNews::answered(Routing::EndpointInstance const& endpoint, Routing::AnswerTiming const& evidence)
 {
     if (!this->ledger.endpoint_answered(endpoint, evidence))
         return;
@@ -117,7 +117,7 @@
     this->announce(Answering { endpoint });
 }
 
-void CrashNews::take_back(Routing::EndpointLife const& endpoint, std::string_view from)
+void CrashNews::take_back(Routing::EndpointInstance const& endpoint, std::string_view from)
 {
     std::erase_if(this->pending, [&endpoint](auto const& waiting) {
         auto const* const crash = std::get_if<Crashed>(&waiting.news);
@@ -131,30 +131,30 @@
 {
     auto const now = monotonic_now();
     for (auto const& [report, age] : message.crashes) {
-        auto const taken = this->ledger.take(report, age, now);
-        if (taken == CrashLedger::Taken::Cleared)
+        auto const taken = this->ledger.apply(report, age, now);
+        if (taken == CrashLedger::Outcome::Cleared)
             this->announce(Cleared { report.request });
-        if (taken != CrashLedger::Taken::New)
+        if (taken != CrashLedger::Outcome::New)
             continue;
         this->metrics.count_crash_report("heard");
         // NOTE: First crashes are nearly all of bystanders; the box that saw one has logged it.
-        if (auto const verdict = this->ledger.verdict(report.request, now); verdict.crashes > 1)
+        if (auto const verdict = this->ledger.status(report.request, now); verdict.crashes > 1)
             log_crash("crash_heard", report, verdict);
         this->pause.end();
     }
     for (auto const& request : message.cleared) {
-        auto const crashes = this->ledger.verdict(request, now).crashes;
+        auto const crashes = this->ledger.status(request, now).crashes;
         if (this->ledger.clear(request, now))
             this->clear(request, "box", crashes);
     }
     for (auto const& endpoint : message.answering) {
-        if (this->ledger.take_back(endpoint))
+        if (this->ledger.retract(endpoint))
             this->take_back(endpoint, "box");
     }
     for (auto const& request : message.probed)
-        this->ledger.probe_goes_on(request, now);
+        this->ledger.renew_probe(request, now);
     for (auto const& request : message.probes_ended)
-        this->ledger.probe_ended(request);
+        this->ledger.end_probe(request);
 }
 
 void CrashNews::take_stored(std::string const& key, std::string const& value)
@@ -165,15 +165,15 @@
         Log::EventLine("crash_record_rejected").with("key", key).with("bytes", value.size()).warning();
         return;
     }
-    if (crash->age >= CrashLedger::memory && this->to_store) {
+    if (crash->age >= CrashLedger::retention && this->to_store) {
         this->to_store(key, std::nullopt);
         return;
     }
     auto const now = monotonic_now();
-    if (this->ledger.take(crash->report, crash->age, now) != CrashLedger::Taken::New)
+    if (this->ledger.apply(crash->report, crash->age, now) != CrashLedger::Outcome::New)
         return;
     this->metrics.count_crash_report("read");
-    log_crash("crash_read", crash->report, this->ledger.verdict(crash->report.request, now));
+    log_crash("crash_read", crash->report, this->ledger.status(crash->report.request, now));
     this->pause.end();
 }
 
@@ -258,7 +258,7 @@
     CrashMessage message;
     for (std::size_t index = 0; index < std::min(refused.size(), most_news_in_message); ++index) {
         auto const& report = refused[this->next_refused++ % refused.size()];
-        auto const left = this->ledger.verdict(report.request, now).refused_for.value_or(Core::Duration { 0 });
+        auto const left = this->ledger.status(report.request, now).refused_for.value_or(Core::Duration { 0 });
         message.crashes.push_back({ report, CrashLedger::quarantine - left });
     }
     this->to_boxes(Membership::encode(message), Audience::SomeBoxes);
--- a/Libraries/LibGateway/CrashNews.h
+++ b/Libraries/LibGateway/CrashNews.h
@@ -40,7 +40,7 @@
     /// Runs until the event loop is stopped.
     [[nodiscard]] Task<void> run();
 
-    [[nodiscard]] Routing::CrashVerdict verdict(Routing::RequestFingerprint request) const;
+    [[nodiscard]] Routing::CrashStatus verdict(Routing::RequestFingerprint request) const;
     /// This box begins a run of a request under which endpoints crashed. No other box begins one until it has ended.
     void probe_began(Routing::RequestFingerprint request);
     void probe_ended(Routing::RequestFingerprint request);
@@ -48,7 +48,7 @@
     void crashed(Routing::CrashReport const& report);
     void ran_well(Routing::RequestFingerprint request);
     /// The endpoint answered this box.
-    void answered(Routing::EndpointLife const& endpoint, Routing::AnswerEvidence const& evidence);
+    void answered(Routing::EndpointInstance const& endpoint, Routing::AnswerTiming const& evidence);
     /// Another box told it.
     void hear(Membership::CrashMessage const& message);
     /// The store holds it, under the key.
@@ -61,7 +61,7 @@
         Routing::RequestFingerprint request;
     };
     struct Answering {
-        Routing::EndpointLife endpoint;
+        Routing::EndpointInstance endpoint;
     };
     struct Crashed {
         Routing::CrashReport report;
@@ -88,7 +88,7 @@
     void tell_due(Core::Instant now);
     void tell_refused(Core::Instant now);
     void clear(Routing::RequestFingerprint request, std::string_view from, unsigned crashes);
-    void take_back(Routing::EndpointLife const& endpoint, std::string_view from);
+    void take_back(Routing::EndpointInstance const& endpoint, std::string_view from);
     [[nodiscard]] Core::Duration time_to_next(Core::Instant now) const;
 
     /// News that comes within this time goes into one message: all requests of an endpoint break together.
--- a/Libraries/LibGateway/EndpointNews.cpp
+++ b/Libraries/LibGateway/EndpointNews.cpp
@@ -53,7 +53,7 @@
 
 void EndpointNews::tell_some()
 {
-    auto const notices = this->router.notices_worth_telling(monotonic_now());
+    auto const notices = this->router.active_notices(monotonic_now());
     if (notices.empty() || !this->to_boxes)
         return;
     EndpointNewsMessage message;
@@ -63,9 +63,9 @@
 }
 
 void EndpointNews::answered(
-    Routing::Placed const& placed, Routing::RequestRouter::SelfReport const& report, Core::Instant sent_at)
+    Routing::Placed const& placed, Routing::RequestRouter::EndpointReport const& report, Core::Instant sent_at)
 {
-    auto const news = this->router.note_answer(placed, report, sent_at, monotonic_now());
+    auto const news = this->router.record_answer(placed, report, sent_at, monotonic_now());
     if (news.backoff_began)
         Log::EventLine("endpoint_backoff")
             .with("endpoint", placed.endpoint.incarnation)
@@ -82,11 +82,11 @@
 {
     auto const now = monotonic_now();
     for (auto const& notice : message.notices) {
-        if (this->router.take_notice(notice, now))
+        if (this->router.apply_notice(notice, now))
             log_change(notice, "box");
     }
     if (message.asks)
-        in_messages(this->router.notices_worth_telling(now), reply);
+        in_messages(this->router.active_notices(now), reply);
 }
 
 }
--- a/Libraries/LibGateway/EndpointNews.h
+++ b/Libraries/LibGateway/EndpointNews.h
@@ -33,7 +33,7 @@
 
     /// The endpoint said this in its answer to a request that was sent at that moment.
     void answered(
-        Routing::Placed const& placed, Routing::RequestRouter::SelfReport const& report, Core::Instant sent_at);
+        Routing::Placed const& placed, Routing::RequestRouter::EndpointReport const& report, Core::Instant sent_at);
     /// Another box told it.
     void hear(Membership::EndpointNewsMessage const& message, Reply const& reply);
 
--- a/Libraries/LibGateway/ExchangeRetries.cpp
+++ b/Libraries/LibGateway/ExchangeRetries.cpp
@@ -54,14 +54,14 @@
     if (end == AttemptEnd::EndpointError)
         return true;
     return this->sent_attempts < this->admitted->route->max_attempts
-        && this->state.router.may_repeat(*this->admitted, monotonic_now());
+        && this->state.router.may_retry(*this->admitted, monotonic_now());
 }
 
 bool RequestExchange::failure_may_be_withheld()
 {
     return !this->has_left && this->admitted->route->is_repeatable()
         && this->sent_attempts < this->admitted->route->max_attempts
-        && this->state.router.may_repeat(*this->admitted, monotonic_now());
+        && this->state.router.may_retry(*this->admitted, monotonic_now());
 }
 
 Task<bool> RequestExchange::examine_break(Attempt attempt)
@@ -74,7 +74,7 @@
     bool const has_crashed = was_in_use && finding == EndpointFinding::Refuses;
     if (has_crashed)
         this->state.crash_news.crashed(
-            { this->fingerprint, Routing::life_of(placed.endpoint), attempt.known_crashes + 1 });
+            { this->fingerprint, Routing::instance_of(placed.endpoint), attempt.known_crashes + 1 });
     co_return has_crashed;
 }
 
@@ -125,7 +125,7 @@
         this->count_begun(attempt.started);
     if (attempt.status != 0)
         this->state.crash_news.answered(
-            Routing::life_of(attempt.placed.endpoint), { attempt.connection_opened, attempt.started });
+            Routing::instance_of(attempt.placed.endpoint), { attempt.connection_opened, attempt.started });
     bool const ended_well
         = end == AttemptEnd::Delivered && attempt.status >= status_ok && attempt.status < first_no_success;
     if (ended_well)
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -10,7 +10,7 @@
 namespace Gateway {
 
 using Core::monotonic_now;
-using Routing::ConfigurationTrust;
+using Routing::ConfigurationFreshness;
 
 namespace {
 
@@ -19,16 +19,16 @@
     return { environment.failure_domain, environment.lease, environment.retry, {} };
 }
 
-std::string_view to_string(ConfigurationTrust trust)
+std::string_view to_string(ConfigurationFreshness trust)
 {
     switch (trust) {
-    case ConfigurationTrust::Missing:
+    case ConfigurationFreshness::Missing:
         return "missing";
-    case ConfigurationTrust::Fresh:
+    case ConfigurationFreshness::Fresh:
         return "fresh";
-    case ConfigurationTrust::Aging:
+    case ConfigurationFreshness::Aging:
         return "aging";
-    case ConfigurationTrust::Expired:
+    case ConfigurationFreshness::Expired:
         break;
     }
     return "expired";
@@ -168,7 +168,7 @@
 void Gateway::wake(Core::Duration suspended)
 {
     auto const now = monotonic_now();
-    this->state.router.woke(now);
+    this->state.router.after_suspension(now);
     this->control.woke(now);
     this->state.connections.close_old(now);
     std::size_t expired = 0;
@@ -180,7 +180,7 @@
     Log::EventLine("box_was_suspended")
         .with("suspended_ms", Core::to_milliseconds(suspended))
         .with("configuration_age_ms", Core::to_milliseconds(this->state.router.configuration_age(now)))
-        .with("configuration", to_string(this->state.router.trust(now)))
+        .with("configuration", to_string(this->state.router.configuration_freshness(now)))
         .with("requests_open", this->state.requests)
         .with("requests_expired", expired)
         .warning();
@@ -226,8 +226,8 @@
 
 bool Gateway::takes_clients() const
 {
-    auto const trust = this->state.router.trust(monotonic_now());
-    bool const knows_configuration = trust == ConfigurationTrust::Fresh || trust == ConfigurationTrust::Aging;
+    auto const trust = this->state.router.configuration_freshness(monotonic_now());
+    bool const knows_configuration = trust == ConfigurationFreshness::Fresh || trust == ConfigurationFreshness::Aging;
     return !this->state.is_stopping && !this->state.awaits_other_boxes && knows_configuration
         && this->control.knows_endpoints();
 }
--- a/Libraries/LibGateway/Leadership.cpp
+++ b/Libraries/LibGateway/Leadership.cpp
@@ -77,7 +77,7 @@
 bool Leadership::may_stand(Instant now) const
 {
     // NOTE: Where what this box knows from the store is old, the store answers nobody, and a claim would fail too.
-    bool const is_in_touch = this->state.router.trust(now) == Routing::ConfigurationTrust::Fresh;
+    bool const is_in_touch = this->state.router.configuration_freshness(now) == Routing::ConfigurationFreshness::Fresh;
     return is_in_touch && !this->state.is_stopping && this->boxes.size() > 0 && this->ways.hears_others(now);
 }
 
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -133,7 +133,7 @@
     this->state.metrics.count_load_reports(age ? "heard" : "overtaken", 1);
     if (!age)
         return;
-    this->state.router.take_load_report(message->sender, message->report, now - *age);
+    this->state.router.apply_load_report(message->sender, message->report, now - *age);
     this->knowledge.take(message->knowledge, now - *age);
 }
 
--- a/Libraries/LibGateway/RequestExchange.cpp
+++ b/Libraries/LibGateway/RequestExchange.cpp
@@ -227,7 +227,7 @@
             attempt.placed, { facts.rate_limit, facts.is_draining, !facts.not_run, facts.backoff }, attempt.started);
     auto const endpoint = attempt.placed.choice.endpoint;
     if (facts.load)
-        this->state.router.take_told_load(endpoint, *facts.load, monotonic_now());
+        this->state.router.update_reported_load(endpoint, *facts.load, monotonic_now());
     if (facts.is_other_endpoint)
         this->state.router.endpoint_replaced(endpoint);
     if (facts.not_run) {
@@ -332,7 +332,7 @@
     auto const stretch = this->pace.take(came, monotonic_now());
     auto const* const service = this->admitted->configuration->find_service(this->admitted->service);
     if (stretch && service != nullptr && service->engine)
-        this->state.router.answer_went_on(
+        this->state.router.answer_progressed(
             *this->admitted, stretch->events * service->engine->tokens_per_event, stretch->taken);
 }
 
--- a/Libraries/LibLeader/FleetPlan.cpp
+++ b/Libraries/LibLeader/FleetPlan.cpp
@@ -68,8 +68,8 @@
 unsigned FleetPlan::target(Routing::ServerScaling const& scaling, Instant now) const
 {
     auto const domains = static_cast<unsigned>(scaling.domain_prices.size());
-    auto const most = domains * scaling.most;
-    auto const least = domains * std::max(1U, scaling.fewest);
+    auto const most = domains * scaling.max_servers;
+    auto const least = domains * std::max(1U, scaling.min_servers);
     auto const known_for = now - this->demand_known_since.value_or(now);
     return std::max(least, std::visit(Target { this->demand(), known_for, most }, this->policy));
 }
@@ -92,10 +92,10 @@
     if (domains == 0)
         return plan;
     bool const is_revocable_cheap
-        = scaling.revocable_price && *scaling.revocable_price <= dearest_revocable && scaling.most > 1;
+        = scaling.revocable_price && *scaling.revocable_price <= dearest_revocable && scaling.max_servers > 1;
     auto const target = this->target(scaling, now);
     auto const share = (target + domains - 1) / domains;
-    auto const floor = std::max(1U, scaling.fewest);
+    auto const floor = std::max(1U, scaling.min_servers);
     // NOTE: With a single failure domain all cheap servers may go at once, so half of the others stay.
     auto const permanent_floor = domains > 1 ? floor : std::max(floor, share / 2);
     auto const revocable_share = is_revocable_cheap && share > permanent_floor ? share - permanent_floor : 0;
@@ -121,12 +121,13 @@
         if (plan.is_replaced && this->demand() && this->is_refused(domain, ServerKind::Revocable)) {
             auto const needed = static_cast<unsigned>(std::ceil(*this->demand()));
             auto const short_of = needed > kept_after ? std::min(lacking, needed - kept_after) : 0;
-            auto const added = std::min(short_of, scaling.most - std::min(scaling.most, counts.permanent));
+            auto const added
+                = std::min(short_of, scaling.max_servers - std::min(scaling.max_servers, counts.permanent));
             counts.permanent += added;
             lacking -= added;
         }
-        counts.permanent = std::min(counts.permanent, scaling.most);
-        counts.revocable = std::min(counts.revocable, scaling.most - counts.permanent);
+        counts.permanent = std::min(counts.permanent, scaling.max_servers);
+        counts.revocable = std::min(counts.revocable, scaling.max_servers - counts.permanent);
         plan.fleet.emplace(domain, counts);
     }
     return plan;
--- a/Libraries/LibMembership/CrashMessages.cpp
+++ b/Libraries/LibMembership/CrashMessages.cpp
@@ -26,7 +26,7 @@
 
 bool is_count(std::uint32_t count)
 {
-    return count > 0 && count <= Routing::CrashLedger::most_crashes;
+    return count > 0 && count <= Routing::CrashLedger::refusal_threshold;
 }
 
 bool is_sound(wire::Crash const& told)
@@ -37,7 +37,7 @@
 /// An age from another box, cut off where nothing depends on it any more.
 Duration bounded_age(std::uint64_t microseconds)
 {
-    auto const longest = static_cast<std::uint64_t>(Routing::CrashLedger::memory.count());
+    auto const longest = static_cast<std::uint64_t>(Routing::CrashLedger::retention.count());
     return Duration { static_cast<Duration::rep>(std::min(microseconds, longest)) };
 }
 
--- a/Libraries/LibMembership/CrashMessages.h
+++ b/Libraries/LibMembership/CrashMessages.h
@@ -25,7 +25,7 @@
     /// Requests of which a run ended well.
     std::vector<Routing::RequestFingerprint> cleared;
     /// Endpoints that were said to have crashed and answer.
-    std::vector<Routing::EndpointLife> answering;
+    std::vector<Routing::EndpointInstance> answering;
     /// Requests under which endpoints crashed, of which the teller has a run under way.
     std::vector<Routing::RequestFingerprint> probed;
     /// Requests of which the teller's run is over.
--- a/Libraries/LibMembership/DepartedEndpoints.cpp
+++ b/Libraries/LibMembership/DepartedEndpoints.cpp
@@ -4,7 +4,7 @@
 
 namespace Membership {
 
-void DepartedEndpoints::left(Routing::EndpointLife const& life, Instant now)
+void DepartedEndpoints::left(Routing::EndpointInstance const& life, Instant now)
 {
     this->departures.insert_or_assign(life, now);
     if (this->departures.size() <= most_remembered)
@@ -18,7 +18,7 @@
 void DepartedEndpoints::remove_from(std::vector<Routing::EndpointRecord>& records, Instant now) const
 {
     std::erase_if(records, [&](auto const& record) {
-        auto const found = this->departures.find(Routing::life_of(record));
+        auto const found = this->departures.find(Routing::instance_of(record));
         return found != this->departures.end() && now - found->second <= memory;
     });
 }
--- a/Libraries/LibMembership/DepartedEndpoints.h
+++ b/Libraries/LibMembership/DepartedEndpoints.h
@@ -12,9 +12,9 @@
 class DepartedEndpoints {
 public:
     /// The endpoint leaves, or its entry went.
-    void left(Routing::EndpointLife const& life, Instant now);
+    void left(Routing::EndpointInstance const& life, Instant now);
     /// It wrote its entry again.
-    void came_back(Routing::EndpointLife const& life) { this->departures.erase(life); }
+    void came_back(Routing::EndpointInstance const& life) { this->departures.erase(life); }
     /// Takes the endpoints that left out of a list that may be older than what is known.
     void remove_from(std::vector<Routing::EndpointRecord>& records, Instant now) const;
 
@@ -24,7 +24,7 @@
     /// Some 60 bytes each.
     static constexpr std::size_t most_remembered = 1024;
 
-    std::map<Routing::EndpointLife, Instant> departures;
+    std::map<Routing::EndpointInstance, Instant> departures;
 };
 
 }
--- a/Libraries/LibMembership/EndpointLifeWire.h
+++ b/Libraries/LibMembership/EndpointLifeWire.h
@@ -6,13 +6,13 @@
 /// The life of an endpoint as boxes write it to each other.
 namespace Membership {
 
-inline void write_life(cleatbeam::membership::EndpointLife& told, Routing::EndpointLife const& endpoint)
+inline void write_life(cleatbeam::membership::EndpointLife& told, Routing::EndpointInstance const& endpoint)
 {
     told.set_incarnation(endpoint.incarnation);
     told.set_started_at_ms(endpoint.started_at);
 }
 
-[[nodiscard]] inline Routing::EndpointLife read_life(cleatbeam::membership::EndpointLife const& told)
+[[nodiscard]] inline Routing::EndpointInstance read_life(cleatbeam::membership::EndpointLife const& told)
 {
     return { told.incarnation(), told.started_at_ms() };
 }
--- a/Libraries/LibMembership/EndpointNewsMessage.cpp
+++ b/Libraries/LibMembership/EndpointNewsMessage.cpp
@@ -44,7 +44,7 @@
             told.set_limit_per_s(*limit.per_second);
         told.set_is_draining(is_draining);
         told.set_told_us_ago(
-            static_cast<std::uint64_t>(std::max<Core::Duration::rep>((now - notice.told_at).count(), 0)));
+            static_cast<std::uint64_t>(std::max<Core::Duration::rep>((now - notice.reported_at).count(), 0)));
     }
     return encoded.SerializeAsString();
 }
--- a/Libraries/LibRouting/Configuration.h
+++ b/Libraries/LibRouting/Configuration.h
@@ -74,8 +74,8 @@
 /// How many servers of a service may be ordered from the platform.
 struct ServerScaling {
     /// In each failure domain, of all kinds together.
-    unsigned fewest { 0 };
-    unsigned most { 0 };
+    unsigned min_servers { 0 };
+    unsigned max_servers { 0 };
     /// From the order until a server takes requests.
     Duration start_time { 0 };
     /// Price of a server that the platform may take away again, as a part of the price of others; nothing where there
--- a/Libraries/LibRouting/ConfigurationLease.cpp
+++ b/Libraries/LibRouting/ConfigurationLease.cpp
@@ -4,13 +4,13 @@
 
 namespace Routing {
 
-bool ConfigurationLease::offer(SharedConfiguration offered, std::optional<Instant> vouched_at)
+bool ConfigurationLease::offer(SharedConfiguration offered, std::optional<Instant> confirmed_at)
 {
     bool const is_newer = !this->in_force || offered->version() > this->in_force->version();
     if (is_newer)
         this->put_in_force(std::move(offered));
-    if (vouched_at)
-        this->confirm(*vouched_at);
+    if (confirmed_at)
+        this->confirm(*confirmed_at);
     return is_newer;
 }
 
@@ -26,58 +26,59 @@
         this->superseded_since = this->newest_known_since;
 }
 
-void ConfigurationLease::confirm(Instant asked_at)
+void ConfigurationLease::confirm(Instant read_sent_at)
 {
-    this->confirmed_at = std::max(this->confirmed_at, asked_at);
-    if (this->unconfirmed_since && asked_at >= *this->unconfirmed_since)
+    this->last_confirmed_at = std::max(this->last_confirmed_at, read_sent_at);
+    if (this->unconfirmed_since && read_sent_at >= *this->unconfirmed_since)
         this->unconfirmed_since.reset();
     // NOTE: What the store says later than this box was told of a newer version is the truth, whoever told it.
-    if (this->in_force && asked_at >= this->newest_told_at)
+    if (this->in_force && read_sent_at >= this->newest_notified_at)
         this->newest_known = this->in_force->version();
 }
 
-void ConfigurationLease::note_version(std::uint64_t version, Instant told_at, Instant known_since)
+void ConfigurationLease::note_version(std::uint64_t version, Instant notified_at, Instant known_since)
 {
     if (version <= this->newest_known)
         return;
-    auto const longest = Core::from_seconds(Core::to_seconds(this->bounds.apply_within) * latest_telling);
-    auto const since = std::clamp(known_since, told_at - longest, told_at);
+    auto const longest = Core::from_seconds(Core::to_seconds(this->bounds.apply_within) * max_notification_delay_share);
+    auto const since = std::clamp(known_since, notified_at - longest, notified_at);
     if (!this->is_superseded())
         this->superseded_since = since;
     this->newest_known = version;
-    this->newest_told_at = told_at;
+    this->newest_notified_at = notified_at;
     this->newest_known_since = since;
 }
 
-void ConfigurationLease::note_due_version(std::uint64_t version, Instant told_at)
+void ConfigurationLease::note_overdue_version(std::uint64_t version, Instant notified_at)
 {
     if (version <= this->newest_known)
         return;
     this->newest_known = version;
-    this->newest_told_at = told_at;
-    this->newest_known_since = told_at - this->bounds.apply_within - Duration { 1 };
+    this->newest_notified_at = notified_at;
+    this->newest_known_since = notified_at - this->bounds.apply_within - Duration { 1 };
     this->superseded_since = this->newest_known_since;
 }
 
-ConfigurationTrust ConfigurationLease::trust(Instant now) const
+ConfigurationFreshness ConfigurationLease::freshness(Instant now) const
 {
     if (!this->in_force)
-        return ConfigurationTrust::Missing;
+        return ConfigurationFreshness::Missing;
     auto const held = this->age(now);
     if (this->bounds.revoke_within
         && Core::to_seconds(held) > Core::to_seconds(*this->bounds.revoke_within) * share_of_revoke_bound)
-        return ConfigurationTrust::Expired;
+        return ConfigurationFreshness::Expired;
     if (this->unconfirmed_since && held > this->bounds.apply_within)
-        return ConfigurationTrust::Expired;
+        return ConfigurationFreshness::Expired;
     // NOTE: Counted from when the first box that passed it on knew of the version, which is seldom long after its
     // acknowledgement. Counted from when this box was told, one behind two relays would serve the old version for
     // longer than the bound. Counted from the last confirmation, boxes would refuse during long transfers that come in
     // time.
     if (this->is_superseded()) {
         bool const is_due = now - this->superseded_since > this->bounds.apply_within;
-        return is_due ? ConfigurationTrust::Expired : ConfigurationTrust::Aging;
+        return is_due ? ConfigurationFreshness::Expired : ConfigurationFreshness::Aging;
     }
-    return held <= this->bounds.apply_within + waiting_read ? ConfigurationTrust::Fresh : ConfigurationTrust::Aging;
+    return held <= this->bounds.apply_within + max_read_wait ? ConfigurationFreshness::Fresh
+                                                             : ConfigurationFreshness::Aging;
 }
 
 }
--- a/Libraries/LibRouting/CrashLedger.cpp
+++ b/Libraries/LibRouting/CrashLedger.cpp
@@ -4,28 +4,28 @@
 
 namespace Routing {
 
-CrashVerdict CrashLedger::verdict(RequestFingerprint request, Instant now) const
+CrashStatus CrashLedger::status(RequestFingerprint request, Instant now) const
 {
-    CrashVerdict verdict;
+    CrashStatus status;
     auto const probe = this->probes.find(request);
-    verdict.is_probed = probe != this->probes.end() && now < probe->second.until;
+    status.is_probed = probe != this->probes.end() && now < probe->second.until;
     auto const found = this->entries.find(request);
     if (found == this->entries.end())
-        return verdict;
-    verdict.crashes = crashes_of(found->second, now);
-    if (verdict.crashes >= most_crashes)
-        verdict.refused_for = quarantine - (now - found->second.last_crash);
-    return verdict;
+        return status;
+    status.crashes = crashes_of(found->second, now);
+    if (status.crashes >= refusal_threshold)
+        status.refused_for = quarantine - (now - found->second.last_crash);
+    return status;
 }
 
-void CrashLedger::probe_goes_on(RequestFingerprint request, Instant now)
+void CrashLedger::renew_probe(RequestFingerprint request, Instant now)
 {
     auto const [position, is_new] = this->probes.try_emplace(request);
     auto& probe = position->second;
     if (is_new || probe.until <= now)
-        probe.crashes_before = this->verdict(request, now).crashes;
+        probe.crashes_before = this->status(request, now).crashes;
     probe.until = now + probe_lease;
-    if (this->probes.size() > most_requests)
+    if (this->probes.size() > max_requests)
         this->probes.erase(
             std::ranges::min_element(this->probes, {}, [](auto const& known) { return known.second.until; }));
 }
@@ -34,34 +34,34 @@
 {
     // NOTE: After the quarantine one crash is missing to the next, so a single run decides.
     if (now - entry.last_crash >= quarantine)
-        return std::min(entry.crashes, most_crashes - 1);
+        return std::min(entry.crashes, refusal_threshold - 1);
     return entry.crashes;
 }
 
-CrashLedger::Taken CrashLedger::take(CrashReport const& report, Duration age, Instant now)
+CrashLedger::Outcome CrashLedger::apply(CrashReport const& report, Duration age, Instant now)
 {
-    if (report.count == 0 || age >= memory)
-        return Taken::Known;
+    if (report.count == 0 || age >= retention)
+        return Outcome::Known;
     auto& entry = this->entries.try_emplace(report.request).first->second;
-    bool const was_cleared = entry.cleared_at && now - *entry.cleared_at < late_reports;
+    bool const was_cleared = entry.cleared_at && now - *entry.cleared_at < late_report_window;
     if (was_cleared && report.count > entry.crashes + 1)
-        return Taken::Cleared;
+        return Outcome::Cleared;
     auto const crashed_at = now - age;
     // NOTE: Told late or once more: runs of a popular request that broke before others ended well must not add up.
     if (entry.cleared_at && crashed_at <= *entry.cleared_at)
-        return Taken::Known;
-    auto const count = std::min(report.count, most_crashes);
+        return Outcome::Known;
+    auto const count = std::min(report.count, refusal_threshold);
     if (count <= crashes_of(entry, crashed_at))
-        return Taken::Known;
+        return Outcome::Known;
     entry.crashes = count;
     entry.endpoints.push_back(report.endpoint);
-    if (entry.endpoints.size() > most_crashes)
+    if (entry.endpoints.size() > refusal_threshold)
         entry.endpoints.erase(entry.endpoints.begin());
     entry.last_crash = crashed_at;
     this->note_crashed_endpoint(report.endpoint, crashed_at, now);
     this->end_earlier_probe(report.request, count);
     this->make_room();
-    return Taken::New;
+    return Outcome::New;
 }
 
 void CrashLedger::end_earlier_probe(RequestFingerprint request, unsigned crashes)
@@ -81,7 +81,7 @@
     return true;
 }
 
-void CrashLedger::note_crashed_endpoint(EndpointLife const& endpoint, Instant crashed_at, Instant now)
+void CrashLedger::note_crashed_endpoint(EndpointInstance const& endpoint, Instant crashed_at, Instant now)
 {
     auto const [position, is_new] = this->crashed.try_emplace(endpoint, KnownCrash { crashed_at, now });
     // NOTE: Where lives aren't told, another crash of the endpoint may be one of another process.
@@ -89,7 +89,7 @@
         position->second = { crashed_at, now };
 }
 
-bool CrashLedger::endpoint_answered(EndpointLife const& endpoint, AnswerEvidence const& evidence)
+bool CrashLedger::endpoint_answered(EndpointInstance const& endpoint, AnswerTiming const& evidence)
 {
     if (this->crashed.empty())
         return false;
@@ -99,16 +99,16 @@
     // NOTE: An answer may have been under way when the endpoint crashed; one to a later request was not.
     bool const is_later = evidence.sent_at > found->second.known_since;
     bool const is_same_process = evidence.connected_at < found->second.at;
-    return is_later && is_same_process && this->take_back(endpoint);
+    return is_later && is_same_process && this->retract(endpoint);
 }
 
-bool CrashLedger::take_back(EndpointLife const& endpoint)
+bool CrashLedger::retract(EndpointInstance const& endpoint)
 {
     if (this->crashed.erase(endpoint) == 0)
         return false;
     for (auto& [request, entry] : this->entries) {
-        auto const taken_back = std::erase(entry.endpoints, endpoint);
-        entry.crashes -= std::min<unsigned>(entry.crashes, static_cast<unsigned>(taken_back));
+        auto const retracted = std::erase(entry.endpoints, endpoint);
+        entry.crashes -= std::min<unsigned>(entry.crashes, static_cast<unsigned>(retracted));
     }
     return true;
 }
@@ -117,7 +117,7 @@
 {
     std::vector<CrashReport> reports;
     for (auto const& [request, entry] : this->entries) {
-        if (crashes_of(entry, now) >= most_crashes)
+        if (crashes_of(entry, now) >= refusal_threshold)
             reports.push_back({ request, entry.endpoints.back(), entry.crashes });
     }
     return reports;
@@ -125,17 +125,17 @@
 
 void CrashLedger::expire(Instant now)
 {
-    std::erase_if(this->entries, [now](auto const& known) { return now - known.second.last_crash >= memory; });
+    std::erase_if(this->entries, [now](auto const& known) { return now - known.second.last_crash >= retention; });
     std::erase_if(this->probes, [now](auto const& known) { return known.second.until <= now; });
-    std::erase_if(this->crashed, [now](auto const& known) { return now - known.second.known_since >= memory; });
+    std::erase_if(this->crashed, [now](auto const& known) { return now - known.second.known_since >= retention; });
 }
 
 void CrashLedger::make_room()
 {
-    if (this->crashed.size() > most_requests)
+    if (this->crashed.size() > max_requests)
         this->crashed.erase(
             std::ranges::min_element(this->crashed, {}, [](auto const& known) { return known.second.known_since; }));
-    if (this->entries.size() <= most_requests)
+    if (this->entries.size() <= max_requests)
         return;
     auto const least = std::ranges::min_element(
         this->entries, {}, [](auto const& known) { return std::pair(known.second.crashes, known.second.last_crash); });
--- a/Libraries/LibRouting/CrashLedger.h
+++ b/Libraries/LibRouting/CrashLedger.h
@@ -12,7 +12,7 @@
 /// One run of a request that ended with the process of its endpoint.
 struct CrashReport {
     RequestFingerprint request;
-    EndpointLife endpoint;
+    EndpointInstance endpoint;
     /// This crash, and those of the request that were known when the run began.
     unsigned count { 1 };
 
@@ -20,16 +20,16 @@
 };
 
 /// When an endpoint's answer to this box was asked for, and on what.
-struct AnswerEvidence {
+struct AnswerTiming {
     /// When the connection came up.
     Instant connected_at;
     Instant sent_at;
 
-    bool operator==(AnswerEvidence const&) const = default;
+    bool operator==(AnswerTiming const&) const = default;
 };
 
 /// What is held against a request.
-struct CrashVerdict {
+struct CrashStatus {
     /// Crashes, each of a run that began when the one before was known.
     unsigned crashes { 0 };
     /// How long the request is still refused; nothing if it may run.
@@ -37,7 +37,7 @@
     /// A run of it is under way that shows whether it may run: no other one begins until then.
     bool is_probed { false };
 
-    bool operator==(CrashVerdict const&) const = default;
+    bool operator==(CrashStatus const&) const = default;
 };
 
 /// Requests under which endpoints crashed, as far as this box saw it or was told (pure).
@@ -56,26 +56,26 @@
 class CrashLedger {
 public:
     /// What take() made of a report.
-    enum class Taken {
+    enum class Outcome {
         New,
         Known,
         /// A run of the request has ended well since; whoever told this has not heard of it.
         Cleared,
     };
 
-    [[nodiscard]] CrashVerdict verdict(RequestFingerprint request, Instant now) const;
+    [[nodiscard]] CrashStatus status(RequestFingerprint request, Instant now) const;
     /// A run of a request under which endpoints crashed began or is still under way, here or at another box.
-    void probe_goes_on(RequestFingerprint request, Instant now);
+    void renew_probe(RequestFingerprint request, Instant now);
     /// That run showed nothing, or what it showed has been taken.
-    void probe_ended(RequestFingerprint request) { this->probes.erase(request); }
+    void end_probe(RequestFingerprint request) { this->probes.erase(request); }
     /// A run of the request ended with its endpoint, `age` ago.
-    Taken take(CrashReport const& report, Duration age, Instant now);
+    Outcome apply(CrashReport const& report, Duration age, Instant now);
     /// A run of the request ended well, here or at another box. True if anything was held against it.
     bool clear(RequestFingerprint request, Instant now);
     /// The endpoint answered. True if that shows that it did not crash, though it was said to.
-    bool endpoint_answered(EndpointLife const& endpoint, AnswerEvidence const& evidence);
+    bool endpoint_answered(EndpointInstance const& endpoint, AnswerTiming const& evidence);
     /// Takes back what was held against requests for this endpoint's crash. True if there was anything.
-    bool take_back(EndpointLife const& endpoint);
+    bool retract(EndpointInstance const& endpoint);
     /// The last crash of each request that is refused now.
     [[nodiscard]] std::vector<CrashReport> refused(Instant now) const;
     [[nodiscard]] std::size_t size() const { return this->entries.size(); }
@@ -86,24 +86,24 @@
 
     /// From so many crashes on a request is refused. Two can be bad luck: the client of an answer that was lost with
     /// its endpoint tries once more, and may meet the harmful request again.
-    static constexpr unsigned most_crashes = 3;
+    static constexpr unsigned refusal_threshold = 3;
     /// How long a request is refused after its last crash. Then one run decides anew, since the endpoints may have been
     /// repaired: a client that never stops costs an endpoint each ten minutes in place of one a second.
     static constexpr Duration quarantine { std::chrono::minutes(10) };
     /// A probe of which nothing was heard for so long is over: the box that ran it may be gone.
     static constexpr Duration probe_lease { std::chrono::milliseconds(3500) };
     /// Crashes are forgotten after this.
-    static constexpr Duration memory { std::chrono::hours(1) };
+    static constexpr Duration retention { std::chrono::hours(1) };
     /// Requests that are remembered. A crash leaves as many as ran at the endpoint, 64 at the largest engines, so these
     /// are 32 crashes within the hour. When there are more, those with the fewest crashes go first: a caller who makes
     /// up requests can't push out one that has crashed twice.
-    static constexpr std::size_t most_requests = 2048;
+    static constexpr std::size_t max_requests = 2048;
 
 private:
     struct Entry {
         unsigned crashes { 0 };
         /// Of the crashes, the last one behind.
-        std::vector<EndpointLife> endpoints;
+        std::vector<EndpointInstance> endpoints;
         Instant last_crash;
         std::optional<Instant> cleared_at;
     };
@@ -114,12 +114,12 @@
     using Entries = std::unordered_map<RequestFingerprint, Entry>;
 
     /// For so long reports that were sent before a run ended well may still arrive.
-    static constexpr Duration late_reports { std::chrono::seconds(60) };
+    static constexpr Duration late_report_window { std::chrono::seconds(60) };
 
     [[nodiscard]] static unsigned crashes_of(Entry const& entry, Instant now);
     /// Another crash is known than when the request's probe began: that probe is over.
     void end_earlier_probe(RequestFingerprint request, unsigned crashes);
-    void note_crashed_endpoint(EndpointLife const& endpoint, Instant crashed_at, Instant now);
+    void note_crashed_endpoint(EndpointInstance const& endpoint, Instant crashed_at, Instant now);
     void make_room();
 
     Entries entries;
@@ -132,7 +132,7 @@
     };
 
     /// Endpoints that are said to have crashed. As many as there are requests, at most.
-    std::map<EndpointLife, KnownCrash> crashed;
+    std::map<EndpointInstance, KnownCrash> crashed;
 };
 
 }
--- a/Libraries/LibRouting/FadingSum.h
+++ b/Libraries/LibRouting/DecayingSum.h
@@ -7,9 +7,9 @@
 namespace Routing {
 
 /// A sum in which old contributions count for less and less: halved with every half-life.
-class FadingSum {
+class DecayingSum {
 public:
-    explicit FadingSum(Core::Duration half_life)
+    explicit DecayingSum(Core::Duration half_life)
         : half_life(half_life)
     {
     }
--- a/Libraries/LibRouting/EndpointBackoffs.cpp
+++ b/Libraries/LibRouting/EndpointBackoffs.cpp
@@ -4,7 +4,7 @@
 
 namespace Routing {
 
-bool EndpointBackoffs::asked(EndpointId id, Duration backoff, Instant now)
+bool EndpointBackoffs::start(EndpointId id, Duration backoff, Instant now)
 {
     bool const was_backed_off = this->is_backed_off(id, now);
     auto& entry = this->entries[id];
@@ -13,7 +13,7 @@
     return !was_backed_off;
 }
 
-void EndpointBackoffs::accepted(EndpointId id, Instant sent_at)
+void EndpointBackoffs::request_accepted(EndpointId id, Instant sent_at)
 {
     auto const found = this->entries.find(id);
     // NOTE: What was sent before the endpoint asked for it may be answered meanwhile.
@@ -29,28 +29,28 @@
 
 bool EndpointBackoffs::may_be_chosen(EndpointId id, Instant now) const
 {
-    return now >= this->free_at(id);
+    return now >= this->available_at(id);
 }
 
-void EndpointBackoffs::chosen(EndpointId id, Instant now)
+void EndpointBackoffs::endpoint_chosen(EndpointId id, Instant now)
 {
     auto const found = this->entries.find(id);
     if (found != this->entries.end())
         found->second.next_probe = now + probe_interval;
 }
 
-Instant EndpointBackoffs::free_at(EndpointId id) const
+Instant EndpointBackoffs::available_at(EndpointId id) const
 {
     auto const found = this->entries.find(id);
     return found == this->entries.end() ? Instant::min() : found->second.next_probe;
 }
 
-Duration come_back_after_backoff(Duration backoff, unsigned priority, double drawn)
+Duration retry_after_backoff(Duration backoff, unsigned priority, double jitter)
 {
     /// Clients of one priority come back within this time of one another, and those of the next after it.
     constexpr double spread_seconds = 0.5;
-    constexpr unsigned most_told_apart = 3;
-    return backoff + Core::from_seconds(spread_seconds * (std::min(priority, most_told_apart) + drawn));
+    constexpr unsigned max_distinct_priorities = 3;
+    return backoff + Core::from_seconds(spread_seconds * (std::min(priority, max_distinct_priorities) + jitter));
 }
 
 }
--- a/Libraries/LibRouting/EndpointBackoffs.h
+++ b/Libraries/LibRouting/EndpointBackoffs.h
@@ -19,18 +19,18 @@
 class EndpointBackoffs {
 public:
     /// The endpoint wants nothing for so long. True if it was not left alone before.
-    bool asked(EndpointId id, Duration backoff, Instant now);
+    bool start(EndpointId id, Duration backoff, Instant now);
     /// The endpoint took a request that was sent at that moment.
-    void accepted(EndpointId id, Instant sent_at);
+    void request_accepted(EndpointId id, Instant sent_at);
     void forget(EndpointId id) { this->entries.erase(id); }
 
     [[nodiscard]] bool is_backed_off(EndpointId id, Instant now) const;
     /// Whether the endpoint may be chosen: it may get requests, and no probe is under way.
     [[nodiscard]] bool may_be_chosen(EndpointId id, Instant now) const;
     /// A request goes there.
-    void chosen(EndpointId id, Instant now);
+    void endpoint_chosen(EndpointId id, Instant now);
     /// When the endpoint may be chosen again.
-    [[nodiscard]] Instant free_at(EndpointId id) const;
+    [[nodiscard]] Instant available_at(EndpointId id) const;
 
 private:
     struct Entry {
@@ -46,6 +46,6 @@
 
 /// When a client may come back for whom this box may send to no endpoint of a service until `backoff` is over. `drawn`,
 /// from 0 to 1, spreads the clients, and less urgent ones (a higher priority) come later.
-[[nodiscard]] Duration come_back_after_backoff(Duration backoff, unsigned priority, double drawn);
+[[nodiscard]] Duration retry_after_backoff(Duration backoff, unsigned priority, double jitter);
 
 }
--- a/Libraries/LibRouting/EndpointDirectory.cpp
+++ b/Libraries/LibRouting/EndpointDirectory.cpp
@@ -7,7 +7,7 @@
 
 bool EndpointDirectory::put(EndpointRecord record)
 {
-    if (this->is_earlier_life(record))
+    if (this->is_earlier_instance(record))
         return false;
     if (auto const known = this->endpoints.find(record.incarnation); known != this->endpoints.end()) {
         auto const known_start = known->second.record.started_at;
@@ -21,12 +21,12 @@
     if (is_new) {
         endpoint.id = EndpointId { this->next_id++ };
         this->incarnations.emplace(endpoint.id, record.incarnation);
-        if (auto const earlier = this->gone.extract(record.incarnation))
-            endpoint.earlier_gone_at = earlier.mapped();
+        if (auto const earlier = this->removal_times.extract(record.incarnation))
+            endpoint.predecessor_removed_at = earlier.mapped();
     }
     endpoint.missing_since.reset();
     if (is_new || endpoint.record.started_at != record.started_at)
-        this->remember_life(record);
+        this->remember_instance(record);
     // NOTE: What took the old address says nothing of the new one, also where the record tells no life.
     if (!is_new && endpoint.record.address != record.address) {
         endpoint.is_replaced = false;
@@ -37,18 +37,18 @@
     return has_changed;
 }
 
-void EndpointDirectory::remember_life(EndpointRecord const& record)
+void EndpointDirectory::remember_instance(EndpointRecord const& record)
 {
     if (record.started_at == 0)
         return;
     auto const [newest, is_first] = this->newest_starts.try_emplace(record.incarnation, record.started_at);
     if (!is_first && newest->second != record.started_at) {
-        this->followed.insert({ record.incarnation, newest->second });
+        this->superseded.insert({ record.incarnation, newest->second });
         newest->second = record.started_at;
     }
-    if (this->followed.size() > most_remembered)
-        this->followed.erase(this->followed.begin());
-    if (this->newest_starts.size() > this->endpoints.size() + most_remembered)
+    if (this->superseded.size() > max_remembered)
+        this->superseded.erase(this->superseded.begin());
+    if (this->newest_starts.size() > this->endpoints.size() + max_remembered)
         std::erase_if(
             this->newest_starts, [this](auto const& known) { return !this->endpoints.contains(known.first); });
 }
@@ -59,7 +59,7 @@
     if (position == this->endpoints.end())
         return;
     if (!this->returned_at || now - *this->returned_at > return_grace) {
-        this->erase_gone(position, now);
+        this->erase_removed(position, now);
         return;
     }
     if (!position->second.missing_since)
@@ -94,7 +94,7 @@
     for (auto position = this->endpoints.begin(); position != this->endpoints.end();) {
         auto const current = position++;
         if (current->second.missing_since && this->returned_at && now - *this->returned_at > return_grace)
-            this->erase_gone(current, now);
+            this->erase_removed(current, now);
     }
 }
 
@@ -137,11 +137,12 @@
     return std::exchange(this->removed, {});
 }
 
-void EndpointDirectory::erase_gone(Endpoints::iterator position, Instant now)
+void EndpointDirectory::erase_removed(Endpoints::iterator position, Instant now)
 {
-    this->gone[position->first] = now;
-    if (this->gone.size() > most_remembered)
-        this->gone.erase(std::ranges::min_element(this->gone, {}, [](auto const& entry) { return entry.second; }));
+    this->removal_times[position->first] = now;
+    if (this->removal_times.size() > max_remembered)
+        this->removal_times.erase(
+            std::ranges::min_element(this->removal_times, {}, [](auto const& entry) { return entry.second; }));
     this->erase(position);
 }
 
--- a/Libraries/LibRouting/EndpointDirectory.h
+++ b/Libraries/LibRouting/EndpointDirectory.h
@@ -19,12 +19,12 @@
 };
 
 /// One life of an endpoint's process, from its start to its end.
-struct EndpointLife {
+struct EndpointInstance {
     std::string incarnation;
     /// Unix milliseconds of its start by its own clock; 0 if it doesn't say.
     std::uint64_t started_at { 0 };
 
-    auto operator<=>(EndpointLife const&) const = default;
+    auto operator<=>(EndpointInstance const&) const = default;
 };
 
 /// What an endpoint says of itself.
@@ -45,7 +45,7 @@
     bool operator==(EndpointRecord const&) const = default;
 };
 
-[[nodiscard]] inline EndpointLife life_of(EndpointRecord const& record)
+[[nodiscard]] inline EndpointInstance instance_of(EndpointRecord const& record)
 {
     return { record.incarnation, record.started_at };
 }
@@ -59,7 +59,7 @@
     /// An answer told that another endpoint has this address now.
     bool is_replaced { false };
     /// When an earlier entry under the same id went; nothing where none is remembered.
-    std::optional<Instant> earlier_gone_at {};
+    std::optional<Instant> predecessor_removed_at {};
 
     bool operator==(KnownEndpoint const&) const = default;
 };
@@ -79,9 +79,9 @@
     /// life that is known.
     bool put(EndpointRecord record);
     /// Whether another life of the endpoint is known to have followed this one.
-    [[nodiscard]] bool is_earlier_life(EndpointRecord const& record) const
+    [[nodiscard]] bool is_earlier_instance(EndpointRecord const& record) const
     {
-        return this->followed.contains(life_of(record));
+        return this->superseded.contains(instance_of(record));
     }
     void remove(std::string const& incarnation, Instant now);
     /// Takes a whole list in place of what was known.
@@ -100,7 +100,10 @@
     [[nodiscard]] std::vector<EndpointId> usable(std::string_view service, Instant now) const;
     [[nodiscard]] std::size_t size() const { return this->endpoints.size(); }
     /// What is kept of lives beyond the endpoints themselves.
-    [[nodiscard]] std::size_t remembered_lives() const { return this->followed.size() + this->newest_starts.size(); }
+    [[nodiscard]] std::size_t remembered_instances() const
+    {
+        return this->superseded.size() + this->newest_starts.size();
+    }
     /// Ids that have another address since the last call: a process keeps its own, so these are of other processes.
     [[nodiscard]] std::vector<EndpointId> take_moved();
     /// Ids that are gone since the last call, so that connections to them can be closed once they are idle.
@@ -113,14 +116,14 @@
 
     /// Lives that are remembered beyond their end, and endpoints beyond those listed. Some 100 bytes each; each is a
     /// start of an endpoint, and late word of a life comes within seconds.
-    static constexpr std::size_t most_remembered = 1024;
+    static constexpr std::size_t max_remembered = 1024;
 
     using Endpoints = std::map<std::string, KnownEndpoint>;
     void erase(Endpoints::iterator position);
     /// The same of an entry that went, at that moment.
-    void erase_gone(Endpoints::iterator position, Instant now);
+    void erase_removed(Endpoints::iterator position, Instant now);
     /// Takes note that this life is the endpoint's newest.
-    void remember_life(EndpointRecord const& record);
+    void remember_instance(EndpointRecord const& record);
 
     Endpoints endpoints;
     std::unordered_map<EndpointId, std::string> incarnations;
@@ -128,9 +131,9 @@
     std::vector<EndpointId> moved;
     /// The start of the newest life of each endpoint that tells one, also of some that are gone.
     std::map<std::string, std::uint64_t> newest_starts;
-    std::set<EndpointLife> followed;
+    std::set<EndpointInstance> superseded;
     /// When entries went that are not listed any more.
-    std::map<std::string, Instant> gone;
+    std::map<std::string, Instant> removal_times;
     std::optional<Instant> returned_at;
     std::uint32_t next_id { 1 };
 };
--- a/Libraries/LibRouting/EndpointLoad.cpp
+++ b/Libraries/LibRouting/EndpointLoad.cpp
@@ -6,15 +6,15 @@
 
 void EndpointLoad::started(RequestId request, Workload const& workload, ExpectedTimes const& expected, Instant now)
 {
-    this->own[request] = { expected, now, false };
-    this->prompts.remember(workload.prompt, now);
+    this->own_requests[request] = { expected, now, false };
+    this->cached_prompts.record(workload.prompt, now);
     this->attempts.add(1, now);
 }
 
 void EndpointLoad::answered(RequestId request, Duration lateness, Instant now)
 {
-    auto const found = this->own.find(request);
-    if (found == this->own.end())
+    auto const found = this->own_requests.find(request);
+    if (found == this->own_requests.end())
         return;
     found->second.answer_begun = true;
     this->last_answer = now;
@@ -24,13 +24,13 @@
 
 void EndpointLoad::ended(RequestId request)
 {
-    this->own.erase(request);
+    this->own_requests.erase(request);
 }
 
 void EndpointLoad::succeeded()
 {
     this->health.succeeded();
-    this->turned_away /= 2;
+    this->shed_count /= 2;
 }
 
 void EndpointLoad::failed(Instant now)
@@ -41,22 +41,22 @@
 
 void EndpointLoad::shed(Instant now)
 {
-    this->turned_away = std::min(this->turned_away + 1, most_doublings);
-    this->full_until = now + pause_when_full * (1U << (this->turned_away - 1));
+    this->shed_count = std::min(this->shed_count + 1, max_doublings);
+    this->full_until = now + shed_pause * (1U << (this->shed_count - 1));
 }
 
-void EndpointLoad::take_told(ToldLoad const& told, Instant now)
+void EndpointLoad::update_reported_load(ReportedLoad const& reported, Instant now)
 {
-    auto const peers = told.running + told.waiting - static_cast<int>(this->own.size());
+    auto const peers = reported.running + reported.waiting - static_cast<int>(this->own_requests.size());
     this->peers_running.set(std::max(0, peers), now);
 }
 
 bool EndpointLoad::takes_work(Instant now) const
 {
-    return now >= this->full_until && this->health.takes_work(now, static_cast<int>(this->own.size()));
+    return now >= this->full_until && this->health.takes_work(now, static_cast<int>(this->own_requests.size()));
 }
 
-void EndpointLoad::take_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at)
+void EndpointLoad::apply_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at)
 {
     this->peers[box] = { backlog, running, at };
 }
@@ -64,7 +64,7 @@
 Duration EndpointLoad::own_backlog() const
 {
     Duration backlog { 0 };
-    for (auto const& [id, request] : this->own) {
+    for (auto const& [id, request] : this->own_requests) {
         if (!request.answer_begun)
             backlog += request.expected.prefill;
     }
@@ -76,7 +76,7 @@
     auto backlog = this->own_backlog() + Core::from_seconds(this->lateness_seconds.value(now));
     for (auto const& [box, share] : this->peers) {
         // NOTE: The engine has read on since the box told this.
-        if (now - share.at <= peer_memory)
+        if (now - share.at <= peer_retention)
             backlog += std::max(Duration { 0 }, share.backlog - (now - share.at));
     }
     return backlog;
@@ -85,7 +85,7 @@
 Duration EndpointLoad::overdue(Instant now) const
 {
     Duration longest { 0 };
-    for (auto const& [id, request] : this->own) {
+    for (auto const& [id, request] : this->own_requests) {
         // NOTE: An answer that began after this request was sent shows that the endpoint lives.
         if (request.answer_begun || this->last_answer > request.started)
             continue;
@@ -97,10 +97,10 @@
 
 double EndpointLoad::running(Instant now) const
 {
-    double told_by_boxes = 0;
+    double reported_by_boxes = 0;
     for (auto const& [box, share] : this->peers)
-        told_by_boxes += now - share.at <= peer_memory ? share.running : 0;
-    return static_cast<double>(this->own.size()) + std::max(told_by_boxes, this->peers_running.value(now));
+        reported_by_boxes += now - share.at <= peer_retention ? share.running : 0;
+    return static_cast<double>(this->own_requests.size()) + std::max(reported_by_boxes, this->peers_running.value(now));
 }
 
 double EndpointLoad::failure_share(Instant now) const
--- a/Libraries/LibRouting/EndpointLoad.h
+++ b/Libraries/LibRouting/EndpointLoad.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibCore/Ids.h>
-#include <LibRouting/FadingSum.h>
-#include <LibRouting/PromptMemory.h>
+#include <LibRouting/DecayingSum.h>
+#include <LibRouting/PromptCacheEstimate.h>
 #include <LibRouting/Workload.h>
 #include <LibTraffic/EndpointHealth.h>
 
@@ -13,12 +13,12 @@
 using Core::RequestId;
 
 /// Load that an endpoint tells in its answers.
-struct ToldLoad {
+struct ReportedLoad {
     int running { 0 };
     int waiting { 0 };
     int slots { 1 };
 
-    bool operator==(ToldLoad const&) const = default;
+    bool operator==(ReportedLoad const&) const = default;
 };
 
 /// How long a request is expected to take at an endpoint.
@@ -43,9 +43,9 @@
     void failed(Instant now);
     /// The endpoint said that it had no room.
     void shed(Instant now);
-    void take_told(ToldLoad const& told, Instant now);
+    void update_reported_load(ReportedLoad const& reported, Instant now);
     /// Another box has so much work here, as of `at`, in place of what it told before.
-    void take_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at);
+    void apply_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at);
     /// Another box has nothing here any more.
     void forget_peer(std::uint64_t box) { this->peers.erase(box); }
 
@@ -59,10 +59,10 @@
     /// Requests believed to be there, of all boxes.
     [[nodiscard]] double running(Instant now) const;
     /// Requests of this box whose answer has begun, or is about to.
-    [[nodiscard]] std::size_t own_running() const { return this->own.size(); }
+    [[nodiscard]] std::size_t own_running() const { return this->own_requests.size(); }
     /// Part of the recent requests that failed.
     [[nodiscard]] double failure_share(Instant now) const;
-    [[nodiscard]] PromptMemory const& memory() const { return this->prompts; }
+    [[nodiscard]] PromptCacheEstimate const& prompt_cache() const { return this->cached_prompts; }
 
 private:
     struct OwnRequest {
@@ -70,16 +70,16 @@
         Instant started;
         bool answer_begun { false };
     };
-    struct PeerShare {
+    struct PeerLoad {
         Duration backlog { 0 };
         unsigned running { 0 };
         Instant at;
     };
     /// What another box told counts this long: a little longer than the longest time between its reports.
-    static constexpr Duration peer_memory { std::chrono::milliseconds(2500) };
+    static constexpr Duration peer_retention { std::chrono::milliseconds(2500) };
 
     /// How long what one answer told of an endpoint stays of use: engines run a request for one or two seconds.
-    static constexpr Duration told_half_life { std::chrono::seconds(1) };
+    static constexpr Duration report_half_life { std::chrono::seconds(1) };
     /// How long the lateness of one first token says something of the next: about as long as a backlog lasts.
     static constexpr Duration lateness_half_life { std::chrono::milliseconds(400) };
     static constexpr Duration failure_half_life { std::chrono::seconds(4) };
@@ -87,22 +87,22 @@
     static constexpr Duration overdue_margin { std::chrono::milliseconds(60) };
     /// An endpoint that was full is left alone this long: a few requests' service times. Twice as long with each
     /// further request that it turns away, and half of these are forgotten with each that it serves.
-    static constexpr Duration pause_when_full { std::chrono::milliseconds(60) };
+    static constexpr Duration shed_pause { std::chrono::milliseconds(60) };
     /// Up to 1.9 s, so that one that is well again is not missed for long.
-    static constexpr unsigned most_doublings = 6;
+    static constexpr unsigned max_doublings = 6;
 
-    std::map<RequestId, OwnRequest> own;
+    std::map<RequestId, OwnRequest> own_requests;
     /// When the endpoint last began an answer to this box.
     Instant last_answer;
-    FadingSum lateness_seconds { lateness_half_life };
-    std::map<std::uint64_t, PeerShare> peers;
-    FadingSum peers_running { told_half_life };
-    FadingSum failures { failure_half_life };
-    FadingSum attempts { failure_half_life };
+    DecayingSum lateness_seconds { lateness_half_life };
+    std::map<std::uint64_t, PeerLoad> peers;
+    DecayingSum peers_running { report_half_life };
+    DecayingSum failures { failure_half_life };
+    DecayingSum attempts { failure_half_life };
     Instant full_until;
-    unsigned turned_away { 0 };
+    unsigned shed_count { 0 };
     Traffic::EndpointHealth health;
-    PromptMemory prompts;
+    PromptCacheEstimate cached_prompts;
 };
 
 }
--- a/Libraries/LibRouting/EndpointNotices.h
+++ b/Libraries/LibRouting/EndpointNotices.h
@@ -19,21 +19,21 @@
 
 /// What an endpoint says of itself in its answers, as boxes tell it each other.
 struct EndpointNotice {
-    EndpointLife endpoint;
+    EndpointInstance endpoint;
     /// One higher with each change that a box sees in an answer. Of two notices the higher one is the newer, however
     /// late it comes.
     std::uint64_t version { 0 };
     EndpointCondition condition;
     /// When the endpoint last said so, as far as is known.
-    Instant told_at {};
+    Instant reported_at {};
 
     bool operator==(EndpointNotice const&) const = default;
 };
 
 /// Which requests of a service get what little its endpoints take first.
-enum class SendRank {
-    First,
-    Later,
+enum class SendPriority {
+    High,
+    Low,
 };
 
 /// What endpoints say of themselves in their answers, and whether this box may send to them now.
@@ -48,29 +48,29 @@
 public:
     void set_boxes(BoxGroup changed);
     /// Takes what an answer to a request that was sent at `sent_at` said. The notice to tell others, if it changed.
-    [[nodiscard]] std::optional<EndpointNotice> answered(
-        EndpointId id, EndpointLife const& endpoint, EndpointCondition const& told, Instant sent_at, Instant now);
+    [[nodiscard]] std::optional<EndpointNotice> apply_answer(EndpointId id, EndpointInstance const& endpoint,
+        EndpointCondition const& reported, Instant sent_at, Instant now);
     /// Takes what another box told; true if it is newer than what is known.
-    bool take(EndpointId id, EndpointNotice const& told, Instant now);
+    bool apply(EndpointId id, EndpointNotice const& reported, Instant now);
     void forget(EndpointId id) { this->entries.erase(id); }
     /// The list of endpoints is known as of that moment.
-    void list_confirmed(Instant vouched_at);
+    void confirm_list(Instant confirmed_at);
     /// The list may hold what was so earlier, as after the store came back from a copy.
-    void list_in_doubt() { this->list_confirmed_at.reset(); }
+    void mark_list_uncertain() { this->list_confirmed_at.reset(); }
 
     /// Whether the endpoint is about to end.
     [[nodiscard]] bool is_draining(EndpointId id) const;
     /// Whether the endpoint may get a request of this rank from this box now, by its limit. In the first half of a slot
     /// as much is kept for the first rank as asked in the slot before.
-    [[nodiscard]] bool may_send(EndpointId id, SendRank rank, SharedMicroseconds now);
+    [[nodiscard]] bool may_send(EndpointId id, SendPriority rank, SharedMicroseconds now);
     /// Counts a request against this box's part of the endpoint's limit. False for one without a limit.
     bool count_send(EndpointId id, SharedMicroseconds now);
     /// The limit in force; empty for none.
     [[nodiscard]] RateLimit limit_of(EndpointId id) const;
     /// Endpoints that have a limit.
-    [[nodiscard]] std::size_t limited() const;
+    [[nodiscard]] std::size_t limited_count() const;
     /// What boxes that missed a change have to be told.
-    [[nodiscard]] std::vector<EndpointNotice> worth_telling(Instant now) const;
+    [[nodiscard]] std::vector<EndpointNotice> active(Instant now) const;
 
 private:
     struct Entry {
@@ -79,19 +79,19 @@
         Instant learned_at;
         /// This box's part in a slot, and what is left of it.
         std::uint64_t slot { 0 };
-        unsigned left { 0 };
+        unsigned remaining { 0 };
         /// Requests of the first rank that asked in the slot and in the one before.
-        unsigned asked_first { 0 };
-        unsigned asked_first_before { 0 };
+        unsigned high_requests { 0 };
+        unsigned previous_high_requests { 0 };
     };
 
     /// The end of a limit is told on for so long: several rounds of all boxes.
-    static constexpr Duration told_after_end { std::chrono::seconds(30) };
+    static constexpr Duration resend_after_end { std::chrono::seconds(30) };
     /// An endpoint that is listed as usual for so long after it said that it leaves is another process. Longer than an
     /// entry takes to lapse and a late write to the store to be done.
-    static constexpr Duration longest_unlisted_drain { std::chrono::seconds(15) };
+    static constexpr Duration max_unlisted_drain { std::chrono::seconds(15) };
     /// Between two moments further apart for which the list is known, it is taken to be unknown.
-    static constexpr Duration longest_list_gap { std::chrono::seconds(2) };
+    static constexpr Duration max_list_gap { std::chrono::seconds(2) };
 
     /// Brings what is left of this box's part up to the slot of this moment.
     void enter_slot(Entry& entry, SharedMicroseconds now) const;
@@ -107,6 +107,6 @@
 
 /// When a client may come back for whom no endpoint of a service had room under its limit. `slot` is the longest slot
 /// of those endpoints; `drawn`, from 0 to 1, spreads the clients, and less urgent ones (a higher priority) come later.
-[[nodiscard]] Duration come_back_after_limit(Duration slot, unsigned priority, double drawn);
+[[nodiscard]] Duration retry_after_limit(Duration slot, unsigned priority, double jitter);
 
 }
--- a/Libraries/LibRouting/EngineDemand.cpp
+++ b/Libraries/LibRouting/EngineDemand.cpp
@@ -18,28 +18,28 @@
 void EngineDemand::add(Workload const& workload, Core::Instant now)
 {
     if (work_kind(workload) == WorkKind::LongAnswer)
-        this->answers.add(workload.answer_tokens * prompt_tokens_per_step / answers_side_by_side, now);
+        this->answers.add(workload.answer_tokens * prompt_tokens_per_step / concurrent_answers, now);
     else
-        this->prompts.add(workload.prompt_tokens * unkept_share, now);
+        this->prompts.add(workload.prompt_tokens * uncached_share, now);
 }
 
 std::size_t EngineDemand::engines_for_answers(std::size_t engines, Core::Instant now)
 {
-    if (engines < fewest_to_divide)
+    if (engines < min_engines_to_divide)
         return 0;
-    if (this->told_share && this->told_share->is_recent(now)) {
-        auto const told = std::lround(this->told_share->value * static_cast<double>(engines));
-        this->given = static_cast<std::size_t>(std::max(1L, told));
-        this->given_of = engines;
-        return this->given;
+    if (this->relay_share && this->relay_share->is_recent(now)) {
+        auto const reported = std::lround(this->relay_share->value * static_cast<double>(engines));
+        this->allotted = static_cast<std::size_t>(std::max(1L, reported));
+        this->allotted_of = engines;
+        return this->allotted;
     }
     auto const needed = std::max(1.0, this->share_of_answers(now) * static_cast<double>(engines));
-    auto const has = static_cast<double>(this->given);
-    bool const has_changed = std::abs(needed - has) > std::max(least_change_engines, has * least_change_share);
-    if (engines != this->given_of || has_changed)
-        this->given = static_cast<std::size_t>(std::lround(needed));
-    this->given_of = engines;
-    return this->given;
+    auto const has = static_cast<double>(this->allotted);
+    bool const has_changed = std::abs(needed - has) > std::max(min_change_engines, has * min_change_share);
+    if (engines != this->allotted_of || has_changed)
+        this->allotted = static_cast<std::size_t>(std::lround(needed));
+    this->allotted_of = engines;
+    return this->allotted;
 }
 
 WorkTotals EngineDemand::own_totals(Core::Instant now) const
@@ -47,27 +47,27 @@
     return { this->answers.value(now), this->prompts.value(now) };
 }
 
-void EngineDemand::take_peer(std::uint64_t box, WorkTotals totals, Core::Instant at)
+void EngineDemand::apply_peer(std::uint64_t box, WorkTotals totals, Core::Instant at)
 {
     std::erase_if(this->peers, [at](auto const& entry) { return !entry.second.is_recent(at); });
-    this->peers.insert_or_assign(box, Told<WorkTotals> { totals, at });
+    this->peers.insert_or_assign(box, Reported<WorkTotals> { totals, at });
 }
 
-void EngineDemand::take_totals_of_others(WorkTotals totals, Core::Instant now)
+void EngineDemand::apply_totals_of_others(WorkTotals totals, Core::Instant now)
 {
-    this->others = { totals, now };
+    this->totals_of_others = { totals, now };
 }
 
-void EngineDemand::take_told_share(double share, Core::Instant now)
+void EngineDemand::apply_relay_share(double share, Core::Instant now)
 {
-    this->told_share = { share, now };
+    this->relay_share = { share, now };
 }
 
-std::optional<double> EngineDemand::share_given() const
+std::optional<double> EngineDemand::answer_share() const
 {
-    if (this->given_of == 0)
+    if (this->allotted_of == 0)
         return {};
-    return static_cast<double>(this->given) / static_cast<double>(this->given_of);
+    return static_cast<double>(this->allotted) / static_cast<double>(this->allotted_of);
 }
 
 double EngineDemand::tokens_per_second(Core::Instant now) const
@@ -81,15 +81,15 @@
 WorkTotals EngineDemand::all_totals(Core::Instant now) const
 {
     auto totals = this->own_totals(now);
-    if (this->others && this->others->is_recent(now)) {
-        totals.answer_work += this->others->value.answer_work;
-        totals.prompt_work += this->others->value.prompt_work;
+    if (this->totals_of_others && this->totals_of_others->is_recent(now)) {
+        totals.answer_work += this->totals_of_others->value.answer_work;
+        totals.prompt_work += this->totals_of_others->value.prompt_work;
     }
-    for (auto const& [box, told] : this->peers) {
-        if (!told.is_recent(now))
+    for (auto const& [box, reported] : this->peers) {
+        if (!reported.is_recent(now))
             continue;
-        totals.answer_work += told.value.answer_work;
-        totals.prompt_work += told.value.prompt_work;
+        totals.answer_work += reported.value.answer_work;
+        totals.prompt_work += reported.value.prompt_work;
     }
     return totals;
 }
@@ -99,8 +99,8 @@
     auto const totals = this->all_totals(now);
     auto const all = totals.answer_work + totals.prompt_work;
     if (all <= 0)
-        return least_share;
-    return std::clamp(totals.answer_work / all, least_share, most_share);
+        return min_share;
+    return std::clamp(totals.answer_work / all, min_share, max_share);
 }
 
 }
--- a/Libraries/LibRouting/EngineDemand.h
+++ b/Libraries/LibRouting/EngineDemand.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibRouting/FadingSum.h>
+#include <LibRouting/DecayingSum.h>
 #include <LibRouting/Workload.h>
 
 #include <map>
@@ -47,49 +47,49 @@
     /// The same as work that comes in a second, in prompt tokens.
     [[nodiscard]] double tokens_per_second(Core::Instant now) const;
     /// What another box has lately seen, as of `at`, in place of what it told before.
-    void take_peer(std::uint64_t box, WorkTotals totals, Core::Instant at);
+    void apply_peer(std::uint64_t box, WorkTotals totals, Core::Instant at);
     /// What other boxes have lately seen, all together.
-    void take_totals_of_others(WorkTotals totals, Core::Instant now);
+    void apply_totals_of_others(WorkTotals totals, Core::Instant now);
     /// The part of the engines that long answers get, as a relay decided for all boxes of the failure domain.
-    void take_told_share(double share, Core::Instant now);
+    void apply_relay_share(double share, Core::Instant now);
     /// The part of the engines that this box gives to long answers; nothing before it first divided any.
-    [[nodiscard]] std::optional<double> share_given() const;
+    [[nodiscard]] std::optional<double> answer_share() const;
 
 private:
-    template <typename Value> struct Told {
+    template <typename Value> struct Reported {
         Value value;
         Core::Instant at;
 
-        [[nodiscard]] bool is_recent(Core::Instant now) const { return now - this->at <= told_memory; }
+        [[nodiscard]] bool is_recent(Core::Instant now) const { return now - this->at <= report_retention; }
     };
 
     [[nodiscard]] double share_of_answers(Core::Instant now) const;
 
     /// What others told holds this long: a box that goes from one relay to the next keeps its division meanwhile.
-    static constexpr Core::Duration told_memory { std::chrono::seconds(6) };
+    static constexpr Core::Duration report_retention { std::chrono::seconds(6) };
 
     /// A box of the first sites sees some ten requests a second; fewer than a hundred make the share a matter of luck.
     static constexpr Core::Duration half_life { std::chrono::seconds(6) };
     /// By how much the need must differ from what long answers have, in engines and as a part of what they have.
-    static constexpr double least_change_engines = 0.8;
-    static constexpr double least_change_share = 0.15;
+    static constexpr double min_change_engines = 0.8;
+    static constexpr double min_change_share = 0.15;
     /// Requests that an engine runs side by side before its steps grow noticeably.
-    static constexpr double answers_side_by_side = 32;
+    static constexpr double concurrent_answers = 32;
     /// Part of a prompt that an engine has to read on average; the rest is kept from earlier ones.
-    static constexpr double unkept_share = 0.5;
+    static constexpr double uncached_share = 0.5;
     /// Engines for long answers when there are hardly any: one in five, so that a burst finds room.
-    static constexpr double least_share = 0.2;
-    static constexpr double most_share = 0.7;
+    static constexpr double min_share = 0.2;
+    static constexpr double max_share = 0.7;
     /// With fewer engines every one takes both kinds.
-    static constexpr std::size_t fewest_to_divide = 3;
-
-    FadingSum answers { half_life };
-    FadingSum prompts { half_life };
-    std::map<std::uint64_t, Told<WorkTotals>> peers;
-    std::optional<Told<WorkTotals>> others;
-    std::optional<Told<double>> told_share;
-    std::size_t given { 0 };
-    std::size_t given_of { 0 };
+    static constexpr std::size_t min_engines_to_divide = 3;
+
+    DecayingSum answers { half_life };
+    DecayingSum prompts { half_life };
+    std::map<std::uint64_t, Reported<WorkTotals>> peers;
+    std::optional<Reported<WorkTotals>> totals_of_others;
+    std::optional<Reported<double>> relay_share;
+    std::size_t allotted { 0 };
+    std::size_t allotted_of { 0 };
 };
 
 }
--- a/Libraries/LibRouting/EngineSpeed.cpp
+++ b/Libraries/LibRouting/EngineSpeed.cpp
@@ -5,43 +5,43 @@
 
 namespace Routing {
 
-FollowedQuantile::FollowedQuantile(double quantile, double prior)
+StreamingQuantile::StreamingQuantile(double quantile, double prior)
     : quantile(quantile)
     , current(prior)
 {
 }
 
-void FollowedQuantile::add(double sample)
+void StreamingQuantile::add(double sample)
 {
     if (!std::isfinite(sample) || sample <= 0)
         return;
     auto const decayed = first_step / (1 + static_cast<double>(this->count) / halving_samples);
-    auto const step = std::max(last_step, decayed);
+    auto const step = std::max(smallest_step, decayed);
     this->current *= std::exp(sample > this->current ? step * this->quantile : -step * (1 - this->quantile));
     ++this->count;
 }
 
-void EngineSpeedEstimate::saw_first_piece(double tokens, double taken_milliseconds)
+void EngineSpeedEstimate::add_first_piece(double tokens, double taken_milliseconds)
 {
-    if (tokens < fewest_tokens)
+    if (tokens < min_prompt_tokens)
         return;
     // NOTE: The first token takes a step after the prompt was read.
     this->reading.add((taken_milliseconds - this->step.value()) / tokens);
     this->combine();
 }
 
-void EngineSpeedEstimate::saw_tokens(double tokens, double taken_milliseconds)
+void EngineSpeedEstimate::add_tokens(double tokens, double taken_milliseconds)
 {
-    if (tokens < fewest_answer_tokens)
+    if (tokens < min_answer_tokens)
         return;
     this->step.add(taken_milliseconds / tokens);
     this->combine();
 }
 
-void EngineSpeedEstimate::take_peer(std::uint64_t box, PeerSpeed told)
+void EngineSpeedEstimate::apply_peer(std::uint64_t box, PeerSpeed reported)
 {
-    std::erase_if(this->peers, [&](auto const& entry) { return told.at - entry.second.at > peer_memory; });
-    this->peers.insert_or_assign(box, told);
+    std::erase_if(this->peers, [&](auto const& entry) { return reported.at - entry.second.at > peer_retention; });
+    this->peers.insert_or_assign(box, reported);
     this->combine();
 }
 
@@ -70,9 +70,9 @@
         log_step += weight * std::log(speed.step_milliseconds);
     };
     // NOTE: One more than its samples for this box, so that there is a speed before the first.
-    add(this->own_speed(), static_cast<double>(std::min(this->samples(), most_samples)) + 1);
+    add(this->own_speed(), static_cast<double>(std::min(this->samples(), max_samples)) + 1);
     for (auto const& [box, peer] : this->peers)
-        add(peer.speed, static_cast<double>(std::min(peer.samples, most_samples)));
+        add(peer.speed, static_cast<double>(std::min(peer.samples, max_samples)));
     this->combined = { std::exp(log_reading / weights), std::exp(log_step / weights) };
 }
 
--- a/Libraries/LibRouting/EngineSpeed.h
+++ b/Libraries/LibRouting/EngineSpeed.h
@@ -27,10 +27,10 @@
 
 /// A quantile of a stream of positive samples, followed on a logarithmic scale: first in large steps away from the
 /// prior, then in small ones. A single sample moves it by a bounded factor, however far off it is.
-class FollowedQuantile {
+class StreamingQuantile {
 public:
     /// `quantile` lies between 0 and 1; `prior` is the value before the first sample.
-    FollowedQuantile(double quantile, double prior);
+    StreamingQuantile(double quantile, double prior);
 
     /// Samples that are not positive and finite are ignored.
     void add(double sample);
@@ -44,7 +44,7 @@
     static constexpr double halving_samples = 20;
     /// The smallest step: engines that turn four times slower are followed within 300 samples, and one sample moves the
     /// value by 5 in 100 at the most.
-    static constexpr double last_step = 0.05;
+    static constexpr double smallest_step = 0.05;
 
     double quantile;
     double current;
@@ -59,9 +59,9 @@
 public:
     /// A first piece came `taken_milliseconds` after the request was sent to an engine where this box had nothing else
     /// to be read, and which certainly had to read `tokens`.
-    void saw_first_piece(double tokens, double taken_milliseconds);
+    void add_first_piece(double tokens, double taken_milliseconds);
     /// Some events of one answer followed one another: so many tokens in so many milliseconds.
-    void saw_tokens(double tokens, double taken_milliseconds);
+    void add_tokens(double tokens, double taken_milliseconds);
 
     /// What another box learnt, in place of what it told before.
     struct PeerSpeed {
@@ -69,7 +69,7 @@
         std::uint64_t samples { 0 };
         Core::Instant at;
     };
-    void take_peer(std::uint64_t box, PeerSpeed told);
+    void apply_peer(std::uint64_t box, PeerSpeed reported);
 
     /// What this box alone has learnt.
     [[nodiscard]] EngineSpeed own_speed() const;
@@ -82,19 +82,19 @@
     void combine();
 
     /// More samples than this make a box's estimate no better, since old ones have faded.
-    static constexpr std::uint64_t most_samples = 100;
+    static constexpr std::uint64_t max_samples = 100;
     /// What another box told of speeds is dropped when it has told nothing for so long.
-    static constexpr Core::Duration peer_memory { std::chrono::seconds(20) };
+    static constexpr Core::Duration peer_retention { std::chrono::seconds(20) };
 
     /// Shorter prompts take about as long as the way to the engine and back.
-    static constexpr double fewest_tokens = 256;
+    static constexpr double min_prompt_tokens = 256;
     /// Fewer tokens than this come in one or two events, whose distance the network decides.
-    static constexpr double fewest_answer_tokens = 12;
+    static constexpr double min_answer_tokens = 12;
     /// Under load nine of ten samples have met other work and are slower than the engine.
-    static constexpr double fast_side = 0.1;
+    static constexpr double fast_quantile = 0.1;
 
-    FollowedQuantile reading { fast_side, 1 / EngineSpeed {}.prefill_tokens_per_millisecond };
-    FollowedQuantile step { fast_side, EngineSpeed {}.step_milliseconds };
+    StreamingQuantile reading { fast_quantile, 1 / EngineSpeed {}.prefill_tokens_per_millisecond };
+    StreamingQuantile step { fast_quantile, EngineSpeed {}.step_milliseconds };
     std::map<std::uint64_t, PeerSpeed> peers;
     EngineSpeed combined;
 };
--- a/Libraries/LibRouting/Placement.cpp
+++ b/Libraries/LibRouting/Placement.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// The same weight on every box, so that all boxes send requests about one thing to the same endpoint without talking.
-std::uint64_t rendezvous_weight(std::uint64_t subject, std::string const& incarnation)
+std::uint64_t rendezvous_weight(std::uint64_t home_key, std::string const& incarnation)
 {
-    return XXH3_64bits_withSeed(incarnation.data(), incarnation.size(), subject);
+    return XXH3_64bits_withSeed(incarnation.data(), incarnation.size(), home_key);
 }
 
 /// The last part that other requests share too; the very last one belongs to the request or its session.
-std::optional<std::uint64_t> shared_subject(Workload const& workload)
+std::optional<std::uint64_t> home_key_of(Workload const& workload)
 {
     if (workload.prompt.empty())
         return {};
@@ -27,13 +27,13 @@
 using Endpoints = std::vector<KnownEndpoint const*>;
 
 /// The endpoints of a service by whether they are meant for a request, each part in the order given.
-struct Sides {
-    Endpoints meant;
+struct EngineGroups {
+    Endpoints preferred;
     Endpoints others;
 };
 
 /// Engines meant for a request: the first ones of a common order for long answers, the others for long prompts.
-Sides divide(Endpoints const& candidates, PlacementQuery const& query)
+EngineGroups group_by_work_kind(Endpoints const& candidates, PlacementQuery const& query)
 {
     auto const for_answers = query.engines_for_answers;
     if (!query.is_engine || for_answers == 0 || for_answers >= candidates.size())
@@ -46,27 +46,27 @@
     auto const last_for_answers = ordered.begin() + static_cast<std::ptrdiff_t>(for_answers) - 1;
     std::ranges::nth_element(ordered, last_for_answers);
     bool const long_answer = work_kind(query.workload) == WorkKind::LongAnswer;
-    Sides sides;
+    EngineGroups groups;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         bool const is_for_answers = weights[index] <= *last_for_answers;
-        (is_for_answers == long_answer ? sides.meant : sides.others).push_back(candidates[index]);
+        (is_for_answers == long_answer ? groups.preferred : groups.others).push_back(candidates[index]);
     }
-    return sides;
+    return groups;
 }
 
-KnownEndpoint const* home_of(Endpoints const& meant, std::uint64_t subject)
+KnownEndpoint const* home_of(Endpoints const& preferred, std::uint64_t home_key)
 {
-    return *std::ranges::max_element(meant, {},
-        [&](KnownEndpoint const* endpoint) { return rendezvous_weight(subject, endpoint->record.incarnation); });
+    return *std::ranges::max_element(preferred, {},
+        [&](KnownEndpoint const* endpoint) { return rendezvous_weight(home_key, endpoint->record.incarnation); });
 }
 
 /// Some of the endpoints by lot: the given part of them, two at least.
-Endpoints drawn(Endpoints endpoints, double share, pcg32& random)
+Endpoints random_sample(Endpoints endpoints, double share, pcg32& random)
 {
     /// Two by lot spread load nearly as well as all, when what is known of it is old.
-    constexpr std::size_t fewest = 2;
+    constexpr std::size_t min_count = 2;
     auto const part = static_cast<std::size_t>(std::ceil(static_cast<double>(endpoints.size()) * share));
-    auto const count = std::max(fewest, part);
+    auto const count = std::max(min_count, part);
     if (count >= endpoints.size())
         return endpoints;
     for (std::size_t index = 0; index < count; ++index) {
@@ -78,15 +78,15 @@
 }
 
 /// The endpoints that a box compares: all, or the home and some of each side.
-Sides compared(Sides sides, KnownEndpoint const* home, PlacementQuery const& query)
+EngineGroups sample_groups(EngineGroups groups, KnownEndpoint const* home, PlacementQuery const& query)
 {
     if (!query.is_engine || query.compared_share >= 1)
-        return sides;
-    pcg32 random(query.draw);
-    Sides chosen { drawn(std::move(sides.meant), query.compared_share, random),
-        drawn(std::move(sides.others), query.compared_share, random) };
-    if (home != nullptr && std::ranges::find(chosen.meant, home) == chosen.meant.end())
-        chosen.meant.push_back(home);
+        return groups;
+    pcg32 random(query.sample_seed);
+    EngineGroups chosen { random_sample(std::move(groups.preferred), query.compared_share, random),
+        random_sample(std::move(groups.others), query.compared_share, random) };
+    if (home != nullptr && std::ranges::find(chosen.preferred, home) == chosen.preferred.end())
+        chosen.preferred.push_back(home);
     return chosen;
 }
 
@@ -109,18 +109,18 @@
     for (std::size_t index = 0; index < workload.prompt.size(); ++index) {
         auto const& part = workload.prompt[index];
         bool const is_shared = index + 1 < workload.prompt.size();
-        bool const is_held = load.memory().holds(part.id, query.now);
-        if (!is_held && !(is_home && is_shared))
+        bool const is_cached = load.prompt_cache().contains(part.id, query.now);
+        if (!is_cached && !(is_home && is_shared))
             break;
-        auto const kept = part.tokens * (is_held ? 1 : model.kept_at_home);
-        to_read.all -= kept;
-        to_read.shared -= is_shared ? kept : 0;
+        auto const cached = part.tokens * (is_cached ? 1 : model.cached_at_home);
+        to_read.all -= cached;
+        to_read.shared -= is_shared ? cached : 0;
     }
     to_read.all = std::max(0.0, to_read.all);
     to_read.shared = std::max(0.0, to_read.shared);
     /// Part of the tokens to read that another box may have made the engine keep without a speed being far off.
-    constexpr double most_uncertain = 0.2;
-    to_read.certain = to_read.shared <= to_read.all * most_uncertain ? to_read.all : 0;
+    constexpr double max_uncertain_share = 0.2;
+    to_read.certain = to_read.shared <= to_read.all * max_uncertain_share ? to_read.all : 0;
     return to_read;
 }
 
@@ -138,7 +138,7 @@
     auto const backlog = Core::to_milliseconds(load.prefill_backlog(query.now));
     auto const running = load.running(query.now);
     auto const first_piece = backlog + prefill + query.speed.step_milliseconds;
-    auto const read_again = query.speed.reading_milliseconds(to_read.shared) * model.read_again_factor;
+    auto const read_again = query.speed.reading_milliseconds(to_read.shared) * model.reread_factor;
     auto const occupancy = running / std::max(1U, endpoint.record.slots);
     auto const congestion = std::max(0.0, 2 * occupancy - 1) * model.full_engine_milliseconds;
     return { { endpoint.id, Core::from_seconds(prefill / 1000), Core::from_seconds(first_piece / 1000),
@@ -152,10 +152,10 @@
 {
     auto const running = load.running(query.now);
     auto const free_slots = static_cast<double>(endpoint.record.slots) - running;
-    auto const turns = free_slots >= 1 ? 0.0 : (1 - free_slots) / std::max(1U, endpoint.record.slots);
+    auto const queue_rounds = free_slots >= 1 ? 0.0 : (1 - free_slots) / std::max(1U, endpoint.record.slots);
     // NOTE: Among endpoints with free slots the emptier one is taken, since peers send there too.
     auto const busy_share = running / std::max(1U, endpoint.record.slots);
-    auto const expected = model.plain_call_milliseconds * (1 + turns + busy_share / 2);
+    auto const expected = model.plain_call_milliseconds * (1 + queue_rounds + busy_share / 2);
     return { { endpoint.id, Duration { 0 }, Core::from_seconds(expected / 1000),
                  { expected, 0, 0, 0, running, 0, false, 0, {} } },
         expected };
@@ -170,9 +170,9 @@
         return {};
     static EndpointLoad const unknown_load;
     bool const has_usual = !candidates.usual.empty();
-    auto sides = divide(has_usual ? candidates.usual : candidates.limited, query);
-    auto const subject = query.is_engine ? shared_subject(query.workload) : std::nullopt;
-    auto const* const home = subject ? home_of(sides.meant, *subject) : nullptr;
+    auto groups = group_by_work_kind(has_usual ? candidates.usual : candidates.limited, query);
+    auto const home_key = query.is_engine ? home_key_of(query.workload) : std::nullopt;
+    auto const* const home = home_key ? home_of(groups.preferred, *home_key) : nullptr;
     std::optional<Candidate> best;
     auto const consider = [&](KnownEndpoint const* endpoint, double extra_cost, PlacementModel const& model) {
         auto const found = loads.find(endpoint->id);
@@ -187,20 +187,20 @@
         if (!best || candidate.cost < best->cost)
             best = candidate;
     };
-    auto const chosen = compared(std::move(sides), home, query);
-    for (auto const* endpoint : chosen.meant)
+    auto const chosen = sample_groups(std::move(groups), home, query);
+    for (auto const* endpoint : chosen.preferred)
         consider(endpoint, 0, model);
     for (auto const* endpoint : chosen.others)
-        consider(endpoint, model.wrong_side_milliseconds, model);
+        consider(endpoint, model.wrong_group_milliseconds, model);
     if (has_usual) {
-        auto of_turn = model;
-        of_turn.read_again_factor = model.limited_read_again_factor;
+        auto limited_model = model;
+        limited_model.reread_factor = model.limited_reread_factor;
         for (auto const* endpoint : candidates.limited)
-            consider(endpoint, -model.limited_gain_milliseconds, of_turn);
+            consider(endpoint, -model.limited_bonus_milliseconds, limited_model);
     }
     best->choice.figures.candidates = candidates.usual.size() + candidates.limited.size();
     best->choice.figures.speed = query.speed;
-    best->choice.figures.subject = subject.value_or(0);
+    best->choice.figures.home_key = home_key.value_or(0);
     return best->choice;
 }
 
--- a/Libraries/LibRouting/Placement.h
+++ b/Libraries/LibRouting/Placement.h
@@ -18,17 +18,17 @@
     /// Cost of an endpoint that fails all its requests: what a retry takes.
     double failure_milliseconds { 400 };
     /// Part of a shared prompt part that the part's usual endpoint is believed to keep though this box did not send it.
-    double kept_at_home { 0.8 };
+    double cached_at_home { 0.8 };
     /// How many times its reading time a shared part costs where it is read again: it holds up others, and the users
     /// price it at about the worth of a request for 7,000 tokens.
-    double read_again_factor { 8 };
+    double reread_factor { 8 };
     /// The same at an endpoint that takes work at times only, which gets little and keeps little.
-    double limited_read_again_factor { 1 };
+    double limited_reread_factor { 1 };
     /// What it gains to use an endpoint that takes work at times only: a turn that lapses is lost to all, and only
     /// answers tell when its limit ends.
-    double limited_gain_milliseconds { 10 };
+    double limited_bonus_milliseconds { 10 };
     /// Cost of placing a request on an engine that is meant for the other kind.
-    double wrong_side_milliseconds { 400 };
+    double wrong_group_milliseconds { 400 };
     /// How many times the silence of an endpoint beyond the expected counts: it has most likely failed.
     double overdue_factor { 4 };
     /// Cost of an engine all of whose slots are taken; half of them are free of cost. A dear engine sends requests away
@@ -47,7 +47,7 @@
     std::uint32_t certain_tokens { 0 };
     double running { 0 };
     /// The part of the prompt that decides on the home, and whether this endpoint is it.
-    std::uint64_t subject { 0 };
+    std::uint64_t home_key { 0 };
     bool is_home { false };
     std::size_t candidates { 0 };
     /// What was believed of the engines' speed.
@@ -84,7 +84,7 @@
     /// Boxes that hear of each other's load at the same moments all find the same engine the emptiest, and send there
     /// until the next reports. So the older what boxes know of each other, the fewer engines each compares.
     double compared_share { 1 };
-    std::uint64_t draw { 0 };
+    std::uint64_t sample_seed { 0 };
 };
 
 using LoadTable = std::unordered_map<EndpointId, EndpointLoad>;
--- a/Libraries/LibRouting/RateSchedule.cpp
+++ b/Libraries/LibRouting/RateSchedule.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-std::size_t BoxGroup::place(std::uint64_t number) const
+std::size_t BoxGroup::rank(std::uint64_t number) const
 {
     auto const own_key = mix(this->own, number);
     return static_cast<std::size_t>(
@@ -37,8 +37,8 @@
 }
 
 RateSchedule::RateSchedule(double per_second)
-    : per_second(std::max(per_second * share_dealt, least_per_second))
-    , length(std::max(shortest_slot, Core::from_seconds(1 / this->per_second)))
+    : per_second(std::max(per_second * allotted_share, min_per_second))
+    , length(std::max(min_slot_length, Core::from_seconds(1 / this->per_second)))
 {
 }
 
@@ -47,13 +47,13 @@
     return now / static_cast<std::uint64_t>(this->length.count());
 }
 
-bool RateSchedule::is_late_in_slot(SharedMicroseconds now) const
+bool RateSchedule::is_second_half_of_slot(SharedMicroseconds now) const
 {
     auto const slot = static_cast<std::uint64_t>(this->length.count());
     return now % slot >= slot / 2;
 }
 
-unsigned RateSchedule::requests_of(std::uint64_t slot, std::string_view endpoint, BoxGroup const& boxes) const
+unsigned RateSchedule::allotment(std::uint64_t slot, std::string_view endpoint, BoxGroup const& boxes) const
 {
     // NOTE: Fractions of a request add up over slots. More than boxes could ever send is not worth counting.
     constexpr double most_in_slot = 1e6;
@@ -64,9 +64,9 @@
     auto const number = static_cast<double>(slot % slots_to_add_up);
     auto const carried = std::floor((number + 1) * fraction) - std::floor(number * fraction);
     auto const requests = static_cast<std::uint64_t>(whole + carried);
-    auto const of_each = requests / boxes.size();
-    auto const place = boxes.place(hash_of(endpoint, slot));
-    return static_cast<unsigned>(of_each + (place < requests % boxes.size() ? 1 : 0));
+    auto const per_box = requests / boxes.size();
+    auto const rank = boxes.rank(hash_of(endpoint, slot));
+    return static_cast<unsigned>(per_box + (rank < requests % boxes.size() ? 1 : 0));
 }
 
 }
--- a/Libraries/LibRouting/RateSchedule.h
+++ b/Libraries/LibRouting/RateSchedule.h
@@ -24,7 +24,7 @@
     /// Boxes, this one among them.
     [[nodiscard]] std::size_t size() const { return this->others.size() + 1; }
     /// This box's place among all in an order that the number draws, from 0; the same order on every box.
-    [[nodiscard]] std::size_t place(std::uint64_t number) const;
+    [[nodiscard]] std::size_t rank(std::uint64_t number) const;
 
     bool operator==(BoxGroup const&) const = default;
 
@@ -48,17 +48,17 @@
     [[nodiscard]] Duration slot_length() const { return this->length; }
     [[nodiscard]] std::uint64_t slot_at(SharedMicroseconds now) const;
     /// Whether the slot's first half is over.
-    [[nodiscard]] bool is_late_in_slot(SharedMicroseconds now) const;
+    [[nodiscard]] bool is_second_half_of_slot(SharedMicroseconds now) const;
     /// Requests that this box may send to the endpoint in the slot.
-    [[nodiscard]] unsigned requests_of(std::uint64_t slot, std::string_view endpoint, BoxGroup const& boxes) const;
+    [[nodiscard]] unsigned allotment(std::uint64_t slot, std::string_view endpoint, BoxGroup const& boxes) const;
 
 private:
     /// Part of the limit that is dealt: the rest is for boxes that know different others.
-    static constexpr double share_dealt = 0.9;
+    static constexpr double allotted_share = 0.9;
     /// An endpoint that takes nothing is asked this often all the same, since only its answers tell when that ends.
-    static constexpr double least_per_second = 0.1;
+    static constexpr double min_per_second = 0.1;
     /// Long enough that most boxes have a request for the endpoint in it.
-    static constexpr Duration shortest_slot { std::chrono::seconds(1) };
+    static constexpr Duration min_slot_length { std::chrono::seconds(1) };
 
     double per_second;
     Duration length;
--- a/Libraries/LibRouting/RequestFingerprint.cpp
+++ b/Libraries/LibRouting/RequestFingerprint.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Chained, so that the parts can't run into each other: "/a" + "bc" is not "/ab" + "c".
-std::uint64_t hash_on(std::uint64_t before, std::string_view part)
+std::uint64_t chain_hash(std::uint64_t before, std::string_view part)
 {
     return XXH3_64bits_withSeed(part.data(), part.size(), before);
 }
@@ -29,7 +29,7 @@
 RequestFingerprint fingerprint_of(
     std::string_view account, std::string_view host, std::string_view target, std::string_view body)
 {
-    return { hash_on(0, account), hash_on(hash_on(hash_on(0, host), target), body) };
+    return { chain_hash(0, account), chain_hash(chain_hash(chain_hash(0, host), target), body) };
 }
 
 std::string to_string(RequestFingerprint fingerprint)
--- a/Libraries/LibRouting/RequestRouter.cpp
+++ b/Libraries/LibRouting/RequestRouter.cpp
@@ -14,11 +14,12 @@
 unsigned urgency_of(Route const& route, ClientAccount const* account)
 {
     /// Priorities of each kind that are told apart; endpoints know ten ranks.
-    constexpr unsigned told_apart = 3;
+    constexpr unsigned distinct_priorities = 3;
     /// The rank of accounts that have none: between the others.
-    constexpr unsigned usual_priority = 1;
-    auto const of_account = account ? account->priority.value_or(usual_priority) : usual_priority;
-    return std::min(route.priority, told_apart - 1) * told_apart + std::min(of_account, told_apart - 1);
+    constexpr unsigned default_priority = 1;
+    auto const of_account = account ? account->priority.value_or(default_priority) : default_priority;
+    return std::min(route.priority, distinct_priorities - 1) * distinct_priorities
+        + std::min(of_account, distinct_priorities - 1);
 }
 
 RequestRouter::RequestRouter(RouterSettings settings, std::uint64_t seed)
@@ -35,34 +36,34 @@
     this->lease.set_bounds(this->settings.lease);
 }
 
-bool RequestRouter::offer_configuration(SharedConfiguration offered, std::optional<Instant> vouched_at)
+bool RequestRouter::offer_configuration(SharedConfiguration offered, std::optional<Instant> confirmed_at)
 {
     std::scoped_lock const guard(this->configuration_lock);
-    return this->lease.offer(std::move(offered), vouched_at);
+    return this->lease.offer(std::move(offered), confirmed_at);
 }
 
-void RequestRouter::confirm_configuration(Instant asked_at)
+void RequestRouter::confirm_configuration(Instant read_sent_at)
 {
     std::scoped_lock const guard(this->configuration_lock);
-    this->lease.confirm(asked_at);
+    this->lease.confirm(read_sent_at);
 }
 
-void RequestRouter::note_configuration(std::uint64_t version, Instant told_at, Instant known_since)
+void RequestRouter::note_configuration(std::uint64_t version, Instant notified_at, Instant known_since)
 {
     std::scoped_lock const guard(this->configuration_lock);
-    this->lease.note_version(version, told_at, known_since);
+    this->lease.note_version(version, notified_at, known_since);
 }
 
-void RequestRouter::note_due_configuration(std::uint64_t version, Instant told_at)
+void RequestRouter::note_overdue_configuration(std::uint64_t version, Instant notified_at)
 {
     std::scoped_lock const guard(this->configuration_lock);
-    this->lease.note_due_version(version, told_at);
+    this->lease.note_overdue_version(version, notified_at);
 }
 
-void RequestRouter::woke(Instant now)
+void RequestRouter::after_suspension(Instant now)
 {
     std::scoped_lock const guard(this->configuration_lock);
-    this->lease.woke(now);
+    this->lease.after_suspension(now);
 }
 
 std::optional<Instant> RequestRouter::configuration_known_since() const
@@ -77,10 +78,10 @@
     return this->lease.current();
 }
 
-ConfigurationTrust RequestRouter::trust(Instant now) const
+ConfigurationFreshness RequestRouter::configuration_freshness(Instant now) const
 {
     std::scoped_lock const guard(this->configuration_lock);
-    return this->lease.trust(now);
+    return this->lease.freshness(now);
 }
 
 Duration RequestRouter::configuration_age(Instant now) const
@@ -97,10 +98,10 @@
     return has_changed;
 }
 
-bool RequestRouter::is_earlier_life(EndpointRecord const& record) const
+bool RequestRouter::is_earlier_instance(EndpointRecord const& record) const
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    return this->directory.is_earlier_life(record);
+    return this->directory.is_earlier_instance(record);
 }
 
 void RequestRouter::remove_endpoint(std::string const& incarnation, Instant now)
@@ -159,7 +160,7 @@
 {
     auto configuration = this->configuration();
     if (!configuration)
-        return Rejected { Reason::ConfigurationMissing, come_back_after_start };
+        return Rejected { Reason::ConfigurationMissing, retry_after_start };
     auto const* const route = configuration->find_route(head.host, head.target);
     if (auto const refusal = this->refuse_by_lease(route, now))
         return *refusal;
@@ -185,7 +186,7 @@
     admitted.service = this->draw_service(*route);
     auto const* const service = configuration->find_service(admitted.service);
     admitted.is_engine = service != nullptr && service->engine.has_value();
-    this->allowance_of(admitted.service).request_sent(now);
+    this->budget_of(admitted.service).request_sent(now);
     if (admitted.is_engine)
         this->demands[admitted.service].add(head.workload, now);
     admitted.configuration = std::move(configuration);
@@ -219,22 +220,22 @@
     placed.is_counted_by_limit = this->notices.count_send(choice->endpoint, this->shared_time(now));
     placed.at_limit = choices.at_limit.size();
     placed.backed_off = choices.backed_off.size();
-    this->backoffs.chosen(choice->endpoint, now);
+    this->backoffs.endpoint_chosen(choice->endpoint, now);
     return placed;
 }
 
 PlacementCandidates const& RequestRouter::Choices::best() const
 {
     // NOTE: When no endpoint is trusted the belief may be wrong, and trying one costs less than refusing.
-    bool const is_any_trusted = !this->trusted.usual.empty() || !this->trusted.limited.empty();
-    return is_any_trusted ? this->trusted : this->distrusted;
+    bool const is_any_healthy = !this->healthy.usual.empty() || !this->healthy.limited.empty();
+    return is_any_healthy ? this->healthy : this->unhealthy;
 }
 
 RequestRouter::Choices RequestRouter::choices(
     Admitted const& request, std::vector<EndpointId> const& tried, Instant now)
 {
     Choices choices;
-    auto const rank = request.route->priority == 0 ? SendRank::First : SendRank::Later;
+    auto const rank = request.route->priority == 0 ? SendPriority::High : SendPriority::Low;
     for (auto const id : this->usable(request.service, now)) {
         if (std::ranges::find(tried, id) != tried.end())
             continue;
@@ -247,9 +248,9 @@
             continue;
         }
         auto const found = this->loads.find(id);
-        bool const is_trusted = found == this->loads.end() || found->second.takes_work(now);
+        bool const is_healthy = found == this->loads.end() || found->second.takes_work(now);
         bool const is_limited = this->notices.limit_of(id).per_second.has_value();
-        auto& candidates = is_trusted ? choices.trusted : choices.distrusted;
+        auto& candidates = is_healthy ? choices.healthy : choices.unhealthy;
         (is_limited ? candidates.limited : candidates.usual).push_back(this->directory.find(id));
     }
     return choices;
@@ -257,20 +258,20 @@
 
 Rejected RequestRouter::refuse_unplaced(Admitted const& request, Choices const& choices, bool was_tried, Instant now)
 {
-    auto const drawn = std::ldexp(static_cast<double>(this->random()), -32);
+    auto const jitter = std::ldexp(static_cast<double>(this->random()), -32);
     if (!choices.at_limit.empty()) {
         Duration longest_slot { 0 };
         for (auto const id : choices.at_limit)
             longest_slot = std::max(longest_slot, RateSchedule(*this->notices.limit_of(id).per_second).slot_length());
-        return { Reason::EndpointsAtLimit, come_back_after_limit(longest_slot, request.route->priority, drawn) };
+        return { Reason::EndpointsAtLimit, retry_after_limit(longest_slot, request.route->priority, jitter) };
     }
     if (!choices.backed_off.empty()) {
         auto first = Instant::max();
         for (auto const id : choices.backed_off)
-            first = std::min(first, this->backoffs.free_at(id));
-        return { Reason::EndpointsBackedOff, come_back_after_backoff(first - now, request.route->priority, drawn) };
+            first = std::min(first, this->backoffs.available_at(id));
+        return { Reason::EndpointsBackedOff, retry_after_backoff(first - now, request.route->priority, jitter) };
     }
-    return { Reason::NoEndpoint, was_tried ? come_back_when_full : come_back_after_gap };
+    return { Reason::NoEndpoint, was_tried ? retry_after_full : retry_after_gap };
 }
 
 SharedMicroseconds RequestRouter::shared_time(Instant now) const
@@ -287,7 +288,7 @@
     auto const shared_now = this->shared_time(now);
     if (placed.is_counted_by_limit)
         return true;
-    if (!this->notices.may_send(id, SendRank::First, shared_now))
+    if (!this->notices.may_send(id, SendPriority::High, shared_now))
         return false;
     static_cast<void>(this->notices.count_send(id, shared_now));
     return true;
@@ -305,8 +306,8 @@
     this->shared_clock_ahead = ahead;
 }
 
-RequestRouter::ReportEffect RequestRouter::note_answer(
-    Placed const& placed, SelfReport const& report, Instant sent_at, Instant now)
+RequestRouter::ReportEffect RequestRouter::record_answer(
+    Placed const& placed, EndpointReport const& report, Instant sent_at, Instant now)
 {
     std::scoped_lock const guard(this->endpoints_lock);
     auto const id = placed.choice.endpoint;
@@ -314,35 +315,36 @@
     if (this->directory.find(id) == nullptr)
         return {};
     if (report.took_request)
-        this->backoffs.accepted(id, sent_at);
-    bool const backoff_began = report.backoff && this->backoffs.asked(id, *report.backoff, now);
-    EndpointCondition const told { report.limit.value_or(this->notices.limit_of(id)), report.is_draining };
-    return { this->notices.answered(id, life_of(placed.endpoint), told, sent_at, now), backoff_began };
+        this->backoffs.request_accepted(id, sent_at);
+    bool const backoff_began = report.backoff && this->backoffs.start(id, *report.backoff, now);
+    EndpointCondition const reported { report.limit.value_or(this->notices.limit_of(id)), report.is_draining };
+    return { this->notices.apply_answer(id, instance_of(placed.endpoint), reported, sent_at, now), backoff_began };
 }
 
-bool RequestRouter::take_notice(EndpointNotice const& notice, Instant now)
+bool RequestRouter::apply_notice(EndpointNotice const& notice, Instant now)
 {
     std::scoped_lock const guard(this->endpoints_lock);
     auto const* const known = this->directory.find(notice.endpoint.incarnation);
     if (known == nullptr)
         return false;
     auto const started_at = known->record.started_at;
-    bool const is_other_life
+    bool const is_other_instance
         = started_at != 0 && notice.endpoint.started_at != 0 && started_at != notice.endpoint.started_at;
-    bool const is_of_earlier_process = known->earlier_gone_at && notice.told_at <= *known->earlier_gone_at;
-    return !is_other_life && !is_of_earlier_process && this->notices.take(known->id, notice, now);
+    bool const is_of_earlier_process
+        = known->predecessor_removed_at && notice.reported_at <= *known->predecessor_removed_at;
+    return !is_other_instance && !is_of_earlier_process && this->notices.apply(known->id, notice, now);
 }
 
-void RequestRouter::endpoints_confirmed(Instant vouched_at)
+void RequestRouter::confirm_endpoints(Instant confirmed_at)
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    this->notices.list_confirmed(vouched_at);
+    this->notices.confirm_list(confirmed_at);
 }
 
-void RequestRouter::endpoints_in_doubt()
+void RequestRouter::mark_endpoints_uncertain()
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    this->notices.list_in_doubt();
+    this->notices.mark_list_uncertain();
 }
 
 bool RequestRouter::is_usable(EndpointId id, Instant now) const
@@ -358,16 +360,16 @@
     return ids;
 }
 
-std::vector<EndpointNotice> RequestRouter::notices_worth_telling(Instant now) const
+std::vector<EndpointNotice> RequestRouter::active_notices(Instant now) const
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    return this->notices.worth_telling(now);
+    return this->notices.active(now);
 }
 
 std::size_t RequestRouter::limited_endpoints() const
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    return this->notices.limited();
+    return this->notices.limited_count();
 }
 
 bool RequestRouter::may_receive(EndpointId endpoint, Instant now) const
@@ -376,10 +378,10 @@
     return this->is_usable(endpoint, now);
 }
 
-bool RequestRouter::may_repeat(Admitted const& request, Instant now)
+bool RequestRouter::may_retry(Admitted const& request, Instant now)
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    return this->allowance_of(request.service).try_spend(now);
+    return this->budget_of(request.service).try_spend(now);
 }
 
 void RequestRouter::attempt_started(
@@ -396,14 +398,14 @@
     std::scoped_lock const guard(this->endpoints_lock);
     if (auto* const load = this->load_of(choice.endpoint))
         load->answered(request.id, request.is_engine ? taken - choice.first_piece : Duration { 0 }, now);
-    if (request.is_engine && choice.figures.backlog_milliseconds < least_backlog_milliseconds)
-        this->speeds[request.service].saw_first_piece(choice.figures.certain_tokens, Core::to_milliseconds(taken));
+    if (request.is_engine && choice.figures.backlog_milliseconds < max_idle_backlog_milliseconds)
+        this->speeds[request.service].add_first_piece(choice.figures.certain_tokens, Core::to_milliseconds(taken));
 }
 
-void RequestRouter::answer_went_on(Admitted const& request, double tokens, Duration taken)
+void RequestRouter::answer_progressed(Admitted const& request, double tokens, Duration taken)
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    this->speeds[request.service].saw_tokens(tokens, Core::to_milliseconds(taken));
+    this->speeds[request.service].add_tokens(tokens, Core::to_milliseconds(taken));
 }
 
 void RequestRouter::attempt_ended(RequestId request, EndpointId endpoint, AttemptResult result, Instant now)
@@ -435,49 +437,49 @@
     this->directory.mark_replaced(endpoint);
 }
 
-void RequestRouter::take_told_load(EndpointId endpoint, ToldLoad const& told, Instant now)
+void RequestRouter::update_reported_load(EndpointId endpoint, ReportedLoad const& reported, Instant now)
 {
     std::scoped_lock const guard(this->endpoints_lock);
     if (auto* const load = this->load_of(endpoint))
-        load->take_told(told, now);
+        load->update_reported_load(reported, now);
 }
 
 std::optional<Rejected> RequestRouter::refuse_by_lease(Route const* route, Instant now) const
 {
     std::scoped_lock const guard(this->configuration_lock);
-    if (this->lease.trust(now) != ConfigurationTrust::Expired)
+    if (this->lease.freshness(now) != ConfigurationFreshness::Expired)
         return {};
     // NOTE: Without a way to the store a public route is served, since nothing speaks against it. A newer version that
     // is known to exist does: it may have dropped the route, or moved it to another service.
     bool const needs_key = this->lease.current()->needs_keys() && !(route != nullptr && route->is_public);
     if (!needs_key && !this->lease.is_superseded())
         return {};
-    return Rejected { Reason::ConfigurationExpired, come_back_after_gap };
+    return Rejected { Reason::ConfigurationExpired, retry_after_gap };
 }
 
 std::optional<Rejected> RequestRouter::refuse_by_wait(Admitted const& request, PlacementChoice const& choice)
 {
     auto const wait = Core::from_seconds(choice.figures.backlog_milliseconds / milliseconds_per_second);
-    auto const own_limit = longest_wait(request.route->goal, choice.prefill);
+    auto const own_limit = max_wait(request.route->goal, choice.prefill);
     if (!own_limit || wait <= *own_limit)
         return {};
     // NOTE: Engines let urgent requests in first, so these wait less than predicted; and what is urgent must not be
     // refused while something less urgent, with a longer goal, is still taken.
     auto const goal = request.configuration->longest_goal(request.service, request.route->priority);
-    auto const limit = longest_wait(goal, choice.prefill);
+    auto const limit = max_wait(goal, choice.prefill);
     if (wait <= *limit)
         return {};
-    auto const drawn = std::ldexp(static_cast<double>(this->random()), -32);
-    return Rejected { Reason::BacklogTooLong, come_back_after(wait, *limit, drawn) };
+    auto const jitter = std::ldexp(static_cast<double>(this->random()), -32);
+    return Rejected { Reason::BacklogTooLong, retry_after_backlog(wait, *limit, jitter) };
 }
 
 Rejected RequestRouter::refuse_unknown(Reason reason, Instant now) const
 {
     std::scoped_lock const guard(this->configuration_lock);
     // NOTE: A newer configuration may know the route or the key, so a final answer needs a fresh one.
-    if (this->lease.trust(now) == ConfigurationTrust::Fresh)
+    if (this->lease.freshness(now) == ConfigurationFreshness::Fresh)
         return { reason, {} };
-    return { Reason::ConfigurationAging, come_back_after_gap };
+    return { Reason::ConfigurationAging, retry_after_gap };
 }
 
 std::string const& RequestRouter::draw_service(Route const& route)
@@ -504,9 +506,9 @@
     return this->directory.find(endpoint) == nullptr ? nullptr : &this->loads[endpoint];
 }
 
-RetryAllowance& RequestRouter::allowance_of(std::string const& service)
+RetryBudget& RequestRouter::budget_of(std::string const& service)
 {
-    return this->allowances.try_emplace(service, this->settings.retry).first->second;
+    return this->budgets.try_emplace(service, this->settings.retry).first->second;
 }
 
 std::map<std::string, WorkTotals> RequestRouter::work_totals(Instant now) const
@@ -518,11 +520,11 @@
     return totals;
 }
 
-void RequestRouter::take_totals_of_others(std::map<std::string, WorkTotals> const& totals, Instant now)
+void RequestRouter::apply_totals_of_others(std::map<std::string, WorkTotals> const& totals, Instant now)
 {
     std::scoped_lock const guard(this->endpoints_lock);
     for (auto const& [service, of_others] : totals)
-        this->demands[service].take_totals_of_others(of_others, now);
+        this->demands[service].apply_totals_of_others(of_others, now);
 }
 
 std::map<std::string, double> RequestRouter::answer_shares(Instant now)
@@ -532,17 +534,17 @@
     for (auto& [service, demand] : this->demands) {
         // NOTE: Decides anew, since a relay may have no requests of its own to do so.
         static_cast<void>(demand.engines_for_answers(this->usable(service, now).size(), now));
-        if (auto const share = demand.share_given())
+        if (auto const share = demand.answer_share())
             shares.emplace(service, *share);
     }
     return shares;
 }
 
-void RequestRouter::take_answer_shares(std::map<std::string, double> const& shares, Instant now)
+void RequestRouter::apply_answer_shares(std::map<std::string, double> const& shares, Instant now)
 {
     std::scoped_lock const guard(this->endpoints_lock);
     for (auto const& [service, share] : shares)
-        this->demands[service].take_told_share(share, now);
+        this->demands[service].apply_relay_share(share, now);
 }
 
 std::optional<double> RequestRouter::engines_needed(std::string const& service, Instant now) const
@@ -568,7 +570,8 @@
 void RequestRouter::set_report_interval(Duration interval)
 {
     std::scoped_lock const guard(this->endpoints_lock);
-    this->compared_share = interval <= fresh_reports ? 1 : Core::to_seconds(fresh_reports) / Core::to_seconds(interval);
+    this->compared_share
+        = interval <= fresh_report_interval ? 1 : Core::to_seconds(fresh_report_interval) / Core::to_seconds(interval);
 }
 
 LoadReport RequestRouter::load_report(Instant now) const
@@ -590,18 +593,18 @@
     return report;
 }
 
-void RequestRouter::take_load_report(std::uint64_t box, LoadReport const& report, Instant at)
+void RequestRouter::apply_load_report(std::uint64_t box, LoadReport const& report, Instant at)
 {
     std::scoped_lock const guard(this->endpoints_lock);
     for (auto& [id, load] : this->loads)
         load.forget_peer(box);
     for (auto const& share : report.endpoints) {
         if (auto const* const endpoint = this->directory.find(share.incarnation))
-            this->loads[endpoint->id].take_peer(box, share.backlog, share.running, at);
+            this->loads[endpoint->id].apply_peer(box, share.backlog, share.running, at);
     }
-    for (auto const& [service, told] : report.services) {
-        this->speeds[service].take_peer(box, { told.speed, told.samples, at });
-        this->demands[service].take_peer(box, told.work, at);
+    for (auto const& [service, reported] : report.services) {
+        this->speeds[service].apply_peer(box, { reported.speed, reported.samples, at });
+        this->demands[service].apply_peer(box, reported.work, at);
     }
 }
 
--- a/Libraries/LibRouting/RequestRouter.h
+++ b/Libraries/LibRouting/RequestRouter.h
@@ -6,7 +6,7 @@
 #include <LibRouting/EndpointNotices.h>
 #include <LibRouting/LoadReport.h>
 #include <LibRouting/Placement.h>
-#include <LibRouting/RetryAllowance.h>
+#include <LibRouting/RetryBudget.h>
 #include <LibRouting/WaitLimit.h>
 #include <LibTraffic/TrafficTypes.h>
 
@@ -103,31 +103,31 @@
 
     void set_settings(RouterSettings changed);
     /// As ConfigurationLease::offer.
-    bool offer_configuration(SharedConfiguration offered, std::optional<Instant> vouched_at);
-    void confirm_configuration(Instant asked_at);
+    bool offer_configuration(SharedConfiguration offered, std::optional<Instant> confirmed_at);
+    void confirm_configuration(Instant read_sent_at);
     /// As ConfigurationLease::note_version.
-    void note_configuration(std::uint64_t version, Instant told_at, Instant known_since);
-    /// As ConfigurationLease::note_due_version.
-    void note_due_configuration(std::uint64_t version, Instant told_at);
+    void note_configuration(std::uint64_t version, Instant notified_at, Instant known_since);
+    /// As ConfigurationLease::note_overdue_version.
+    void note_overdue_configuration(std::uint64_t version, Instant notified_at);
     /// As ConfigurationLease::woke.
-    void woke(Instant now);
+    void after_suspension(Instant now);
     /// As ConfigurationLease::known_since.
     [[nodiscard]] std::optional<Instant> configuration_known_since() const;
     [[nodiscard]] SharedConfiguration configuration() const;
-    [[nodiscard]] ConfigurationTrust trust(Instant now) const;
+    [[nodiscard]] ConfigurationFreshness configuration_freshness(Instant now) const;
     [[nodiscard]] Duration configuration_age(Instant now) const;
 
     /// True if the endpoint is new or its record changed.
     bool put_endpoint(EndpointRecord const& record);
-    /// As EndpointDirectory::is_earlier_life.
-    [[nodiscard]] bool is_earlier_life(EndpointRecord const& record) const;
+    /// As EndpointDirectory::is_earlier_instance.
+    [[nodiscard]] bool is_earlier_instance(EndpointRecord const& record) const;
     void remove_endpoint(std::string const& incarnation, Instant now);
     void replace_endpoints(std::vector<EndpointRecord> const& records, Instant now);
     void store_returned(Instant now);
     /// The list of endpoints is known as of that moment.
-    void endpoints_confirmed(Instant vouched_at);
+    void confirm_endpoints(Instant confirmed_at);
     /// The list of endpoints may hold what was so earlier.
-    void endpoints_in_doubt();
+    void mark_endpoints_uncertain();
     /// Ids of endpoints that are gone since the last call.
     [[nodiscard]] std::vector<EndpointId> expire_endpoints(Instant now);
     [[nodiscard]] std::size_t endpoint_count() const;
@@ -145,23 +145,23 @@
     /// endpoint may have named one meanwhile.
     [[nodiscard]] bool may_send(Placed const& placed, Instant now);
     /// Whether one more endpoint may get the request, by the budget of its service.
-    [[nodiscard]] bool may_repeat(Admitted const& request, Instant now);
+    [[nodiscard]] bool may_retry(Admitted const& request, Instant now);
 
     void attempt_started(Admitted const& request, Workload const& workload, PlacementChoice const& choice, Instant now);
     /// The first piece of an answer came, `taken` after the attempt started.
     void attempt_answered(Admitted const& request, PlacementChoice const& choice, Duration taken, Instant now);
     /// Events of an answer followed one another: so many tokens in the time given.
-    void answer_went_on(Admitted const& request, double tokens, Duration taken);
+    void answer_progressed(Admitted const& request, double tokens, Duration taken);
     void attempt_ended(RequestId request, EndpointId endpoint, AttemptResult result, Instant now);
     void endpoint_replaced(EndpointId endpoint);
-    void take_told_load(EndpointId endpoint, ToldLoad const& told, Instant now);
+    void update_reported_load(EndpointId endpoint, ReportedLoad const& reported, Instant now);
 
     /// The boxes that share what endpoints take.
     void set_boxes(BoxGroup boxes);
     /// How far the clock that all boxes go by is ahead of this box's own, which runs from its boot.
     void set_shared_clock(Duration ahead);
     /// What an endpoint said of itself in an answer.
-    struct SelfReport {
+    struct EndpointReport {
         /// Nothing where it can't be read, and what is known holds.
         std::optional<RateLimit> limit;
         bool is_draining { false };
@@ -177,12 +177,12 @@
         /// Whether this box begins to leave the endpoint alone.
         bool backoff_began { false };
     };
-    [[nodiscard]] ReportEffect note_answer(
-        Placed const& placed, SelfReport const& report, Instant sent_at, Instant now);
+    [[nodiscard]] ReportEffect record_answer(
+        Placed const& placed, EndpointReport const& report, Instant sent_at, Instant now);
     /// Another box told it; true if it is news of an endpoint that is known here.
-    bool take_notice(EndpointNotice const& notice, Instant now);
-    /// As EndpointNotices::worth_telling.
-    [[nodiscard]] std::vector<EndpointNotice> notices_worth_telling(Instant now) const;
+    bool apply_notice(EndpointNotice const& notice, Instant now);
+    /// As EndpointNotices::active.
+    [[nodiscard]] std::vector<EndpointNotice> active_notices(Instant now) const;
     /// Endpoints that have a rate limit.
     [[nodiscard]] std::size_t limited_endpoints() const;
 
@@ -191,7 +191,7 @@
     /// What this box tells other boxes of its load.
     [[nodiscard]] LoadReport load_report(Instant now) const;
     /// What another box told, as of `at`, in place of what it told before.
-    void take_load_report(std::uint64_t box, LoadReport const& report, Instant at);
+    void apply_load_report(std::uint64_t box, LoadReport const& report, Instant at);
 
     /// How many of a service's engines the recent requests of all boxes would keep busy; nothing before any came.
     [[nodiscard]] std::optional<double> engines_needed(std::string const& service, Instant now) const;
@@ -201,26 +201,26 @@
     /// What this box's recent requests ask of engines, by service.
     [[nodiscard]] std::map<std::string, WorkTotals> work_totals(Instant now) const;
     /// The same of other boxes of the failure domain, all together.
-    void take_totals_of_others(std::map<std::string, WorkTotals> const& totals, Instant now);
+    void apply_totals_of_others(std::map<std::string, WorkTotals> const& totals, Instant now);
     /// The part of each service's engines that this box gives to long answers.
     [[nodiscard]] std::map<std::string, double> answer_shares(Instant now);
     /// The same as a relay decided it for all boxes of the failure domain.
-    void take_answer_shares(std::map<std::string, double> const& shares, Instant now);
+    void apply_answer_shares(std::map<std::string, double> const& shares, Instant now);
 
 private:
     /// When a client may come back after a refusal for want of an endpoint or a configuration: about the time in which
     /// the store tells of a new one.
-    static constexpr Duration come_back_after_gap { std::chrono::milliseconds(500) };
+    static constexpr Duration retry_after_gap { std::chrono::milliseconds(500) };
     /// When a client may come back to a box that has just started and has no configuration yet: it reads one within
     /// some 50 ms.
-    static constexpr Duration come_back_after_start { std::chrono::milliseconds(150) };
+    static constexpr Duration retry_after_start { std::chrono::milliseconds(150) };
     /// When a client may come back to a service whose endpoints are full: a few service times.
-    static constexpr Duration come_back_when_full { std::chrono::milliseconds(150) };
+    static constexpr Duration retry_after_full { std::chrono::milliseconds(150) };
     /// With reports as frequent as this a box compares all engines; with rarer ones a part that is as much smaller.
     /// Within it a long prompt is read, so what is known is of the queue that a request meets.
-    static constexpr Duration fresh_reports { std::chrono::milliseconds(100) };
+    static constexpr Duration fresh_report_interval { std::chrono::milliseconds(100) };
     /// With a shorter backlog than this before it, what a first piece took says how fast the engine reads.
-    static constexpr double least_backlog_milliseconds = 2;
+    static constexpr double max_idle_backlog_milliseconds = 2;
 
     [[nodiscard]] std::optional<Rejected> refuse_by_lease(Route const* route, Instant now) const;
     /// Refuses what even the best engine would begin to read too late.
@@ -228,8 +228,8 @@
     [[nodiscard]] Rejected refuse_unknown(Reason reason, Instant now) const;
     /// The endpoints of a service by what this box may send them.
     struct Choices {
-        PlacementCandidates trusted;
-        PlacementCandidates distrusted;
+        PlacementCandidates healthy;
+        PlacementCandidates unhealthy;
         /// This box has sent them its part of what they take.
         std::vector<EndpointId> at_limit;
         /// They want nothing from this box for now.
@@ -250,7 +250,7 @@
     [[nodiscard]] std::string const& draw_service(Route const& route);
     /// The load of an endpoint that is still known; null for one that is gone.
     [[nodiscard]] EndpointLoad* load_of(EndpointId endpoint);
-    [[nodiscard]] RetryAllowance& allowance_of(std::string const& service);
+    [[nodiscard]] RetryBudget& budget_of(std::string const& service);
 
     RouterSettings settings;
     mutable std::mutex configuration_lock;
@@ -261,7 +261,7 @@
     EndpointNotices notices;
     EndpointBackoffs backoffs;
     Duration shared_clock_ahead { 0 };
-    std::unordered_map<std::string, RetryAllowance> allowances;
+    std::unordered_map<std::string, RetryBudget> budgets;
     std::map<std::string, EngineDemand> demands;
     std::map<std::string, EngineSpeedEstimate> speeds;
     /// The part of the engines that a box compares.
--- a/Libraries/LibRouting/RetryAllowance.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -19,9 +19,9 @@
 
 /// This box's part of the budget of one service. Boxes do not talk: each counts its own requests and leaves most of
 /// the shared slack alone.
-class RetryAllowance {
+class RetryBudget {
 public:
-    explicit RetryAllowance(RetryBounds bounds)
+    explicit RetryBudget(RetryBounds bounds)
         : bounds(bounds)
     {
     }
@@ -32,15 +32,15 @@
 
 private:
     /// Part of the ratio that is used. Requests and their repeats may fall into different windows.
-    static constexpr double share_of_ratio = 0.85;
+    static constexpr double used_ratio_share = 0.85;
     /// Part of the slack that one box may use. A hundred boxes stay inside it.
-    static constexpr double share_of_slack = 0.04;
+    static constexpr double own_slack_share = 0.04;
 
     void forget_before(Instant cutoff);
 
     RetryBounds bounds;
     std::deque<Instant> requests;
-    std::deque<Instant> repeats;
+    std::deque<Instant> retries;
 };
 
 }
--- a/Libraries/LibRouting/WaitLimit.cpp
+++ b/Libraries/LibRouting/WaitLimit.cpp
@@ -4,7 +4,7 @@
 
 namespace Routing {
 
-std::optional<Core::Duration> longest_wait(Core::Duration goal, Core::Duration prefill)
+std::optional<Core::Duration> max_wait(Core::Duration goal, Core::Duration prefill)
 {
     /// Part of the goal that waiting and reading may take as predicted. The rest is for what the prediction does not
     /// see.
@@ -19,9 +19,9 @@
     return Core::from_seconds(std::max(left, seconds * share_for_waiting));
 }
 
-Core::Duration come_back_after(Core::Duration wait, Core::Duration limit, double drawn)
+Core::Duration retry_after_backlog(Core::Duration wait, Core::Duration limit, double jitter)
 {
-    return wait - limit + Core::from_seconds(Core::to_seconds(wait) * drawn);
+    return wait - limit + Core::from_seconds(Core::to_seconds(wait) * jitter);
 }
 
 }
--- a/Libraries/LibRouting/WaitLimit.h
+++ b/Libraries/LibRouting/WaitLimit.h
@@ -11,10 +11,10 @@
 ///
 /// What would wait longer comes late in any case, and it makes what comes after it late too. So it is refused at once,
 /// while it has not run. It answers bursts of long prompts beyond what the engines read.
-[[nodiscard]] std::optional<Core::Duration> longest_wait(Core::Duration goal, Core::Duration prefill);
+[[nodiscard]] std::optional<Core::Duration> max_wait(Core::Duration goal, Core::Duration prefill);
 
 /// When a client may come back that was refused since the wait is longer than the limit: once the engine has worked off
 /// what is too much. `drawn`, from 0 to 1, spreads the callers, so that they don't come back together.
-[[nodiscard]] Core::Duration come_back_after(Core::Duration wait, Core::Duration limit, double drawn);
+[[nodiscard]] Core::Duration retry_after_backlog(Core::Duration wait, Core::Duration limit, double jitter);
 
 }
--- a/Libraries/LibRouting/Workload.h
+++ b/Libraries/LibRouting/Workload.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibRouting/PromptMemory.h>
+#include <LibRouting/PromptCacheEstimate.h>
 
 #include <vector>
 
--- a/Tests/LibGateway/TestControlRecords.cpp
+++ b/Tests/LibGateway/TestControlRecords.cpp
@@ -147,7 +147,7 @@
     CHECK(!ask(box, relay, at(1100), shorter_than_any));
     CHECK(box.version() == 6);
     CHECK(box.state.router.configuration_age(at(1100)) == std::chrono::milliseconds(600));
-    CHECK(box.state.router.trust(at(1100)) == Routing::ConfigurationTrust::Aging);
+    CHECK(box.state.router.configuration_freshness(at(1100)) == Routing::ConfigurationFreshness::Aging);
     CHECK(box.state.router.endpoint_count() == 1);
 }
 
@@ -245,7 +245,7 @@
     Box relay(1);
     Box box(2);
     relay.read(7, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d") }, at(1000));
-    relay.state.router.take_answer_shares({ { "s", 0.25 } }, at(1000));
+    relay.state.router.apply_answer_shares({ { "s", 0.25 } }, at(1000));
     CHECK(ask(box, relay, at(1100)));
     auto const shares = box.state.router.answer_shares(at(1200));
     REQUIRE(shares.contains("s"));
@@ -277,8 +277,8 @@
     Box box(2);
     relay.read(7, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d") }, at(1000));
     box.read(7, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d") }, at(1000));
-    relay.state.router.take_answer_shares({ { "s", 0.5 } }, at(1000));
-    box.state.router.take_answer_shares({ { "s", 0.25 } }, at(1000));
+    relay.state.router.apply_answer_shares({ { "s", 0.5 } }, at(1000));
+    box.state.router.apply_answer_shares({ { "s", 0.25 } }, at(1000));
     auto const before = box.state.router.answer_shares(at(1050)).at("s");
     auto const answer = relay.records.answer(box.records.question(at(1100)), any_length, at(1100));
     REQUIRE(answer);
@@ -338,8 +338,8 @@
     constexpr std::size_t nothing_that_long = 0;
     CHECK(!ask(box, relay, after(known, 1100), nothing_that_long));
     CHECK(box.version() == 6);
-    CHECK(box.state.router.trust(after(known, 2000)) == Routing::ConfigurationTrust::Aging);
-    CHECK(box.state.router.trust(after(known, 2001)) == Routing::ConfigurationTrust::Expired);
+    CHECK(box.state.router.configuration_freshness(after(known, 2000)) == Routing::ConfigurationFreshness::Aging);
+    CHECK(box.state.router.configuration_freshness(after(known, 2001)) == Routing::ConfigurationFreshness::Expired);
 }
 
 namespace {
--- a/Tests/LibGateway/TestCrashNews.cpp
+++ b/Tests/LibGateway/TestCrashNews.cpp
@@ -12,7 +12,7 @@
 
 constexpr Routing::RequestFingerprint request { 1, 7 };
 
-Routing::EndpointLife endpoint(int number)
+Routing::EndpointInstance endpoint(int number)
 {
     return { "e" + std::to_string(number), 1000 };
 }
@@ -93,7 +93,7 @@
     /// The request's runs end with three endpoints, each known everywhere before the next begins.
     void crash_three_times()
     {
-        for (unsigned count = 1; count <= Routing::CrashLedger::most_crashes; ++count) {
+        for (unsigned count = 1; count <= Routing::CrashLedger::refusal_threshold; ++count) {
             this->news(0).crashed({ request, endpoint(static_cast<int>(count)), count });
             REQUIRE(run_until(this->context, [&] { return this->boxes[1]->is_cut_off || this->all_know(count); }));
         }
--- a/Tests/LibGateway/TestStoreFromCopy.cpp
+++ b/Tests/LibGateway/TestStoreFromCopy.cpp
@@ -198,9 +198,9 @@
     started.records.take_knowledge(running.records.knowledge(now), now);
     CHECK(started.version() == 5);
     // What the copy doesn't allow may be allowed by the version that it lacks.
-    CHECK(started.state.router.trust(now) == Routing::ConfigurationTrust::Aging);
+    CHECK(started.state.router.configuration_freshness(now) == Routing::ConfigurationFreshness::Aging);
     auto const later = now + std::chrono::milliseconds(2500);
-    CHECK(started.state.router.trust(later) == Routing::ConfigurationTrust::Expired);
+    CHECK(started.state.router.configuration_freshness(later) == Routing::ConfigurationFreshness::Expired);
 }
 
 TEST_CASE("a relay answers as of the earlier history until it has read both topics anew")
--- a/Tests/LibGateway/TestSuspension.cpp
+++ b/Tests/LibGateway/TestSuspension.cpp
@@ -24,7 +24,7 @@
 void connect_wake(Exchange& request)
 {
     request.state.on_wake = [&request](Core::Duration) {
-        request.state.router.woke(Core::monotonic_now());
+        request.state.router.after_suspension(Core::monotonic_now());
         if (request.exchange)
             static_cast<void>(request.exchange->woke());
     };
@@ -107,7 +107,8 @@
     // Inside the bound for taken-away keys, so only the waking holds it back.
     Core::suspend_for_tests(seconds(3));
     request.state.notice_suspension();
-    CHECK(request.state.router.trust(Core::monotonic_now()) == Routing::ConfigurationTrust::Expired);
+    CHECK(request.state.router.configuration_freshness(Core::monotonic_now())
+        == Routing::ConfigurationFreshness::Expired);
     request.state.router.confirm_configuration(Core::monotonic_now());
     request.start("body");
     request.endpoints[request.arrival()]->answer(whole_answer);
--- a/Tests/LibMembership/TestCrashMessages.cpp
+++ b/Tests/LibMembership/TestCrashMessages.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Routing::RequestFingerprint request { 0xfedc, 3 };
-Routing::EndpointLife const endpoint { "i-1", 1'790'000'000'000 };
+Routing::EndpointInstance const endpoint { "i-1", 1'790'000'000'000 };
 constexpr std::int64_t wall_now = 1'790'000'100'000;
 
 CrashMessage some_message()
@@ -84,7 +84,7 @@
 {
     auto message = some_message();
     message.crashes[0].age = std::chrono::hours(24 * 365 * 1000);
-    CHECK(decode_crashes(encode(message))->crashes[0].age == Routing::CrashLedger::memory);
+    CHECK(decode_crashes(encode(message))->crashes[0].age == Routing::CrashLedger::retention);
 }
 
 TEST_CASE("a refused request's record tells its age by the wall clock, and is taken for no box")
@@ -114,8 +114,8 @@
         if (!message)
             continue;
         for (auto const& crash : message->crashes) {
-            CHECK(crash.report.count <= Routing::CrashLedger::most_crashes);
-            CHECK(crash.age <= Routing::CrashLedger::memory);
+            CHECK(crash.report.count <= Routing::CrashLedger::refusal_threshold);
+            CHECK(crash.age <= Routing::CrashLedger::retention);
         }
     }
 }
--- a/Tests/LibMembership/TestEndpointNewsMessage.cpp
+++ b/Tests/LibMembership/TestEndpointNewsMessage.cpp
@@ -33,8 +33,8 @@
     constexpr Core::Instant there { seconds(77) };
     auto const heard = decode_endpoint_news(encode(some_message(), now), there);
     REQUIRE(heard);
-    CHECK(heard->notices[0].told_at == there - seconds(2));
-    CHECK(heard->notices[1].told_at == there);
+    CHECK(heard->notices[0].reported_at == there - seconds(2));
+    CHECK(heard->notices[1].reported_at == there);
 }
 
 TEST_CASE("a message of as many notices as there may be fits into a packet")
--- a/Tests/LibRouting/RateLimitPlay.h
+++ b/Tests/LibRouting/RateLimitPlay.h
@@ -18,21 +18,21 @@
 // The ways in which a box may deal with an endpoint's limit.
 
 /// Sends as if there were none.
-struct Unheeded { };
+struct IgnoredLimit { };
 /// Each box sends an equal part of the limit, whenever it likes.
 struct EqualShares { };
 /// A few boxes, always the same, share the limit.
 struct FewBoxes { };
 /// Turns that all boxes work out alike.
-struct Timetable { };
-using Way = std::variant<Unheeded, EqualShares, FewBoxes, Timetable>;
+struct SlotSchedule { };
+using Strategy = std::variant<IgnoredLimit, EqualShares, FewBoxes, SlotSchedule>;
 
-struct Scene {
+struct Scenario {
     std::size_t boxes { 6 };
     double limit_per_second { 1 };
     /// Requests a second that each box would send to the endpoint.
     double demand_of_box { 5 };
-    Way way { Timetable {} };
+    Strategy strategy { SlotSchedule {} };
     std::uint64_t seed { 1 };
 };
 
@@ -53,7 +53,7 @@
 inline constexpr Duration loss_at { seconds(28) };
 inline constexpr Duration clocks_step_at { seconds(34) };
 inline constexpr Duration clocks_are_back_at { seconds(40) };
-inline constexpr Duration played { seconds(48) };
+inline constexpr Duration duration { seconds(48) };
 inline constexpr EndpointId endpoint_id { 1 };
 
 /// The most that may reach the endpoint in a window.
@@ -87,16 +87,16 @@
     Duration clock_ahead { 0 };
 };
 
-class Play {
+class Simulation {
 public:
-    explicit Play(Scene const& scene)
-        : scene(scene)
-        , random(scene.seed)
+    explicit Simulation(Scenario const& scenario)
+        : scenario(scenario)
+        , random(scenario.seed)
     {
-        for (std::size_t number = 0; number < this->scene.boxes; ++number)
+        for (std::size_t number = 0; number < this->scenario.boxes; ++number)
             this->names.push_back("box-" + std::to_string(number));
-        this->boxes.resize(this->scene.boxes);
-        for (std::size_t number = 0; number < this->scene.boxes; ++number) {
+        this->boxes.resize(this->scenario.boxes);
+        for (std::size_t number = 0; number < this->scenario.boxes; ++number) {
             this->boxes[number].notices.set_boxes(BoxGroup(this->names[number], this->names));
             this->schedule_request(number, start);
         }
@@ -106,13 +106,14 @@
 
     [[nodiscard]] Result run()
     {
-        while (!this->events.empty() && this->events.top().at <= start + played) {
+        while (!this->events.empty() && this->events.top().at <= start + duration) {
             auto const event = this->events.top();
             this->events.pop();
             this->now = event.at;
             event.act();
         }
-        return { this->most_in_window(), this->part_used(judged_from, calm_until), this->part_used(loss_at, played) };
+        return { this->most_in_window(), this->used_share(judged_from, calm_until),
+            this->used_share(loss_at, duration) };
     }
 
 private:
@@ -136,7 +137,7 @@
 
     void schedule_request(std::size_t number, Instant from)
     {
-        auto const pause = Core::from_seconds(-std::log(1 - this->drawn()) / this->scene.demand_of_box);
+        auto const pause = Core::from_seconds(-std::log(1 - this->drawn()) / this->scenario.demand_of_box);
         this->at(from + pause, [this, number] {
             if (!this->boxes[number].is_gone)
                 this->request(number);
@@ -152,45 +153,45 @@
         this->arrivals.push_back(this->now);
         auto const sent_at = this->now;
         this->at(this->now + milliseconds(100), [this, number, sent_at] {
-            auto const changed = this->boxes[number].notices.answered(
-                endpoint_id, { "e1", 0 }, { { this->scene.limit_per_second }, false }, sent_at, this->now);
+            auto const changed = this->boxes[number].notices.apply_answer(
+                endpoint_id, { "e1", 0 }, { { this->scenario.limit_per_second }, false }, sent_at, this->now);
             if (changed)
-                this->tell_all(number, *changed);
+                this->broadcast(number, *changed);
         });
     }
 
     [[nodiscard]] bool may_send(std::size_t number, Box& box)
     {
         auto const shared = static_cast<SharedMicroseconds>((this->now.time_since_epoch() + box.clock_ahead).count());
-        bool const knows = box.notices.limit_of(endpoint_id).per_second.has_value();
-        if (!knows || std::holds_alternative<Unheeded>(this->scene.way))
+        bool const knows_limit = box.notices.limit_of(endpoint_id).per_second.has_value();
+        if (!knows_limit || std::holds_alternative<IgnoredLimit>(this->scenario.strategy))
             return true;
-        auto const count = static_cast<double>(this->scene.boxes);
-        if (std::holds_alternative<EqualShares>(this->scene.way))
-            return box.bucket.take(this->scene.limit_per_second / count, this->now);
-        if (std::holds_alternative<FewBoxes>(this->scene.way)) {
-            auto const few = std::clamp(this->scene.limit_per_second / 2, 1.0, count);
+        auto const count = static_cast<double>(this->scenario.boxes);
+        if (std::holds_alternative<EqualShares>(this->scenario.strategy))
+            return box.bucket.take(this->scenario.limit_per_second / count, this->now);
+        if (std::holds_alternative<FewBoxes>(this->scenario.strategy)) {
+            auto const few = std::clamp(this->scenario.limit_per_second / 2, 1.0, count);
             return static_cast<double>(number) < std::floor(few)
-                && box.bucket.take(this->scene.limit_per_second / std::floor(few), this->now);
+                && box.bucket.take(this->scenario.limit_per_second / std::floor(few), this->now);
         }
-        return box.notices.may_send(endpoint_id, SendRank::First, shared)
+        return box.notices.may_send(endpoint_id, SendPriority::High, shared)
             && box.notices.count_send(endpoint_id, shared);
     }
 
-    void tell(std::size_t to, EndpointNotice const& notice)
+    void send(std::size_t to, EndpointNotice const& notice)
     {
         constexpr double lost = 0.1;
         if (this->drawn() < lost)
             return;
         this->at(this->now + milliseconds(5),
-            [this, to, notice] { static_cast<void>(this->boxes[to].notices.take(endpoint_id, notice, this->now)); });
+            [this, to, notice] { static_cast<void>(this->boxes[to].notices.apply(endpoint_id, notice, this->now)); });
     }
 
-    void tell_all(std::size_t from, EndpointNotice const& notice)
+    void broadcast(std::size_t from, EndpointNotice const& notice)
     {
         for (std::size_t to = 0; to < this->boxes.size(); ++to) {
             if (to != from)
-                this->tell(to, notice);
+                this->send(to, notice);
         }
     }
 
@@ -198,9 +199,9 @@
     void gossip()
     {
         for (auto const& box : this->boxes) {
-            for (auto const& notice : box.notices.worth_telling(this->now)) {
+            for (auto const& notice : box.notices.active(this->now)) {
                 for (int times = 0; times < 3; ++times)
-                    this->tell(this->random(static_cast<std::uint32_t>(this->boxes.size())), notice);
+                    this->send(this->random(static_cast<std::uint32_t>(this->boxes.size())), notice);
             }
         }
         this->at(this->now + seconds(1), [this] { this->gossip(); });
@@ -230,8 +231,8 @@
         this->boxes[number].notices.set_boxes(BoxGroup(this->names[number], this->names));
         for (int times = 0; times < 3; ++times) {
             auto const& asked = this->boxes[this->random(static_cast<std::uint32_t>(this->boxes.size()))];
-            for (auto const& notice : asked.notices.worth_telling(this->now))
-                this->tell(number, notice);
+            for (auto const& notice : asked.notices.active(this->now))
+                this->send(number, notice);
         }
     }
 
@@ -246,16 +247,16 @@
         return most;
     }
 
-    [[nodiscard]] double part_used(Duration from, Duration until) const
+    [[nodiscard]] double used_share(Duration from, Duration until) const
     {
         auto const first = std::ranges::lower_bound(this->arrivals, start + from);
         auto const end = std::ranges::lower_bound(this->arrivals, start + until);
-        return static_cast<double>(end - first) / (Core::to_seconds(until - from) * this->scene.limit_per_second);
+        return static_cast<double>(end - first) / (Core::to_seconds(until - from) * this->scenario.limit_per_second);
     }
 
     static constexpr Instant start = Instant {} + seconds(1000);
 
-    Scene scene;
+    Scenario scenario;
     pcg32 random;
     std::vector<std::string> names;
     std::vector<Box> boxes;
--- a/Tests/LibRouting/TestConfiguration.cpp
+++ b/Tests/LibRouting/TestConfiguration.cpp
@@ -153,7 +153,7 @@
 TEST_CASE("a lease never steps back to an older version")
 {
     ConfigurationLease lease({ seconds(2), seconds(5) });
-    CHECK(lease.trust(at(seconds(0))) == ConfigurationTrust::Missing);
+    CHECK(lease.freshness(at(seconds(0))) == ConfigurationFreshness::Missing);
     CHECK(lease.offer(version(7), at(seconds(0))));
     CHECK_FALSE(lease.offer(version(5), at(seconds(1))));
     CHECK_FALSE(lease.offer(version(7), at(seconds(1))));
@@ -166,22 +166,22 @@
 {
     ConfigurationLease lease({ seconds(2), seconds(5) });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
-    CHECK(lease.trust(at(seconds(3))) == ConfigurationTrust::Fresh);
-    CHECK(lease.trust(at(milliseconds(3001))) == ConfigurationTrust::Aging);
-    CHECK(lease.trust(at(milliseconds(4499))) == ConfigurationTrust::Aging);
-    CHECK(lease.trust(at(milliseconds(4501))) == ConfigurationTrust::Expired);
+    CHECK(lease.freshness(at(seconds(3))) == ConfigurationFreshness::Fresh);
+    CHECK(lease.freshness(at(milliseconds(3001))) == ConfigurationFreshness::Aging);
+    CHECK(lease.freshness(at(milliseconds(4499))) == ConfigurationFreshness::Aging);
+    CHECK(lease.freshness(at(milliseconds(4501))) == ConfigurationFreshness::Expired);
     lease.confirm(at(seconds(4)));
-    CHECK(lease.trust(at(seconds(7))) == ConfigurationTrust::Fresh);
+    CHECK(lease.freshness(at(seconds(7))) == ConfigurationFreshness::Fresh);
     // A late answer to an earlier read confirms nothing new.
     lease.confirm(at(seconds(3)));
-    CHECK(lease.trust(at(seconds(7))) == ConfigurationTrust::Fresh);
+    CHECK(lease.freshness(at(seconds(7))) == ConfigurationFreshness::Fresh);
 }
 
 TEST_CASE("without a bound for revocation a lease never expires")
 {
     ConfigurationLease lease({ seconds(2), std::nullopt });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
-    CHECK(lease.trust(at(seconds(1000))) == ConfigurationTrust::Aging);
+    CHECK(lease.freshness(at(seconds(1000))) == ConfigurationFreshness::Aging);
 }
 
 TEST_CASE("the bound on a superseded version runs from when the version after it became known, not from the newest")
@@ -191,16 +191,16 @@
     CHECK(!lease.known_since());
     lease.note_version(2, at(milliseconds(1000)), at(milliseconds(500)));
     lease.note_version(4, at(milliseconds(1500)), at(milliseconds(1500)));
-    CHECK(lease.trust(at(milliseconds(2500))) == ConfigurationTrust::Aging);
-    CHECK(lease.trust(at(milliseconds(2501))) == ConfigurationTrust::Expired);
+    CHECK(lease.freshness(at(milliseconds(2500))) == ConfigurationFreshness::Aging);
+    CHECK(lease.freshness(at(milliseconds(2501))) == ConfigurationFreshness::Expired);
     // Of a version between, no more is known than since when the first after it was.
     static_cast<void>(lease.offer(version(3), std::nullopt));
     CHECK(lease.known_since() == at(milliseconds(500)));
-    CHECK(lease.trust(at(milliseconds(3500))) == ConfigurationTrust::Aging);
-    CHECK(lease.trust(at(milliseconds(3501))) == ConfigurationTrust::Expired);
+    CHECK(lease.freshness(at(milliseconds(3500))) == ConfigurationFreshness::Aging);
+    CHECK(lease.freshness(at(milliseconds(3501))) == ConfigurationFreshness::Expired);
     static_cast<void>(lease.offer(version(4), std::nullopt));
     CHECK(lease.known_since() == at(milliseconds(1500)));
-    CHECK(lease.trust(at(milliseconds(3501))) != ConfigurationTrust::Expired);
+    CHECK(lease.freshness(at(milliseconds(3501))) != ConfigurationFreshness::Expired);
 }
 
 TEST_CASE("a box that was away for long has time to read the version that it missed")
@@ -208,6 +208,6 @@
     ConfigurationLease lease({ seconds(2), std::nullopt });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
     lease.note_version(2, at(seconds(60)), at(seconds(5)));
-    CHECK(lease.trust(at(milliseconds(60'900))) == ConfigurationTrust::Aging);
-    CHECK(lease.trust(at(milliseconds(60'901))) == ConfigurationTrust::Expired);
+    CHECK(lease.freshness(at(milliseconds(60'900))) == ConfigurationFreshness::Aging);
+    CHECK(lease.freshness(at(milliseconds(60'901))) == ConfigurationFreshness::Expired);
 }
--- a/Tests/LibRouting/TestEndpointBackoffs.cpp
+++ b/Tests/LibRouting/TestEndpointBackoffs.cpp
@@ -21,40 +21,40 @@
 {
     EndpointBackoffs backoffs;
     CHECK(backoffs.may_be_chosen(endpoint, at(seconds(0))));
-    CHECK(backoffs.asked(endpoint, seconds(3), at(seconds(0))));
-    CHECK_FALSE(backoffs.asked(endpoint, seconds(1), at(seconds(1))));
+    CHECK(backoffs.start(endpoint, seconds(3), at(seconds(0))));
+    CHECK_FALSE(backoffs.start(endpoint, seconds(1), at(seconds(1))));
     CHECK(backoffs.is_backed_off(endpoint, at(milliseconds(2999))));
     CHECK_FALSE(backoffs.may_be_chosen(endpoint, at(milliseconds(2999))));
     CHECK_FALSE(backoffs.is_backed_off(endpoint, at(seconds(3))));
     CHECK(backoffs.may_be_chosen(endpoint, at(seconds(3))));
-    CHECK(backoffs.free_at(endpoint) == at(seconds(3)));
+    CHECK(backoffs.available_at(endpoint) == at(seconds(3)));
 }
 
 TEST_CASE("an answer to what was sent before doesn't end it")
 {
     EndpointBackoffs backoffs;
-    backoffs.asked(endpoint, seconds(3), at(seconds(0)));
-    backoffs.accepted(endpoint, at(milliseconds(-100)));
-    backoffs.accepted(endpoint, at(seconds(2)));
+    backoffs.start(endpoint, seconds(3), at(seconds(0)));
+    backoffs.request_accepted(endpoint, at(milliseconds(-100)));
+    backoffs.request_accepted(endpoint, at(seconds(2)));
     CHECK(backoffs.is_backed_off(endpoint, at(seconds(2))));
 }
 
 TEST_CASE("afterwards one request at a time tries whether the endpoint takes work again")
 {
     EndpointBackoffs backoffs;
-    backoffs.asked(endpoint, seconds(3), at(seconds(0)));
-    backoffs.chosen(endpoint, at(seconds(3)));
+    backoffs.start(endpoint, seconds(3), at(seconds(0)));
+    backoffs.endpoint_chosen(endpoint, at(seconds(3)));
     CHECK_FALSE(backoffs.may_be_chosen(endpoint, at(milliseconds(3100))));
     // The try itself is not stopped by what it began.
     CHECK_FALSE(backoffs.is_backed_off(endpoint, at(milliseconds(3100))));
     SUBCASE("it does")
     {
-        backoffs.accepted(endpoint, at(seconds(3)));
+        backoffs.request_accepted(endpoint, at(seconds(3)));
         CHECK(backoffs.may_be_chosen(endpoint, at(milliseconds(3100))));
     }
     SUBCASE("it turns that away too")
     {
-        CHECK(backoffs.asked(endpoint, seconds(3), at(milliseconds(3100))));
+        CHECK(backoffs.start(endpoint, seconds(3), at(milliseconds(3100))));
         CHECK_FALSE(backoffs.may_be_chosen(endpoint, at(seconds(6))));
         CHECK(backoffs.may_be_chosen(endpoint, at(milliseconds(6100))));
     }
@@ -66,9 +66,9 @@
 
 TEST_CASE("callers come back afterwards, the most urgent first and not all at once")
 {
-    CHECK(come_back_after_backoff(seconds(2), 0, 0) == seconds(2));
-    CHECK(come_back_after_backoff(seconds(2), 0, 1) == milliseconds(2500));
-    CHECK(come_back_after_backoff(seconds(2), 1, 0) >= come_back_after_backoff(seconds(2), 0, 1));
-    CHECK(come_back_after_backoff(seconds(2), 2, 0) >= come_back_after_backoff(seconds(2), 1, 1));
-    CHECK(come_back_after_backoff(seconds(2), 100, 0) == come_back_after_backoff(seconds(2), 3, 0));
+    CHECK(retry_after_backoff(seconds(2), 0, 0) == seconds(2));
+    CHECK(retry_after_backoff(seconds(2), 0, 1) == milliseconds(2500));
+    CHECK(retry_after_backoff(seconds(2), 1, 0) >= retry_after_backoff(seconds(2), 0, 1));
+    CHECK(retry_after_backoff(seconds(2), 2, 0) >= retry_after_backoff(seconds(2), 1, 1));
+    CHECK(retry_after_backoff(seconds(2), 100, 0) == retry_after_backoff(seconds(2), 3, 0));
 }
--- a/Tests/LibRouting/TestEndpointDirectory.cpp
+++ b/Tests/LibRouting/TestEndpointDirectory.cpp
@@ -89,11 +89,11 @@
 
 namespace {
 
-EndpointRecord life(std::uint64_t started_at)
+EndpointRecord instance(std::uint64_t started_at)
 {
-    auto life = record("a");
-    life.started_at = started_at;
-    return life;
+    auto instance = record("a");
+    instance.started_at = started_at;
+    return instance;
 }
 
 EndpointId id_of(EndpointDirectory const& directory)
@@ -111,17 +111,17 @@
 TEST_CASE("an endpoint that starts again under its id is another one")
 {
     EndpointDirectory directory;
-    directory.put(life(1000));
+    directory.put(instance(1000));
     auto const before = id_of(directory);
     directory.mark_replaced(before);
     CHECK(directory.usable("pool", at(seconds(0))).empty());
     SUBCASE("with a later start")
     {
-        CHECK(directory.put(life(2000)));
+        CHECK(directory.put(instance(2000)));
     }
     SUBCASE("with an earlier one, since its clock was set back")
     {
-        CHECK(directory.put(life(500)));
+        CHECK(directory.put(instance(500)));
     }
     auto const after = id_of(directory);
     CHECK(after != before);
@@ -133,31 +133,31 @@
 TEST_CASE("late word of an earlier life doesn't bring it back")
 {
     EndpointDirectory directory;
-    directory.put(life(1000));
+    directory.put(instance(1000));
     SUBCASE("while the later one is listed")
     {
-        directory.put(life(2000));
+        directory.put(instance(2000));
     }
     SUBCASE("with its entry gone in between")
     {
         directory.remove("a", at(seconds(0)));
-        directory.put(life(2000));
+        directory.put(instance(2000));
     }
     auto const newest = id_of(directory);
-    CHECK(directory.is_earlier_life(life(1000)));
-    CHECK_FALSE(directory.put(life(1000)));
+    CHECK(directory.is_earlier_instance(instance(1000)));
+    CHECK_FALSE(directory.put(instance(1000)));
     CHECK(id_of(directory) == newest);
     directory.remove("a", at(seconds(0)));
-    CHECK_FALSE(directory.put(life(1000)));
+    CHECK_FALSE(directory.put(instance(1000)));
     CHECK(directory.size() == 0);
     // The later life itself may come back, as after a gap of the store.
-    CHECK(directory.put(life(2000)));
+    CHECK(directory.put(instance(2000)));
 }
 
 TEST_CASE("a box that doesn't know of lives changes none, and what it told gets its life from who does")
 {
     EndpointDirectory directory;
-    directory.put(life(1000));
+    directory.put(instance(1000));
     auto const known = id_of(directory);
     CHECK_FALSE(directory.put(record("a")));
     CHECK(id_of(directory) == known);
@@ -165,11 +165,11 @@
 
     EndpointDirectory other;
     other.put(record("a"));
-    auto const untold = id_of(other);
-    CHECK(other.put(life(1000)));
-    CHECK(id_of(other) == untold);
-    CHECK(other.put(life(2000)));
-    CHECK(id_of(other) != untold);
+    auto const without_start = id_of(other);
+    CHECK(other.put(instance(1000)));
+    CHECK(id_of(other) == without_start);
+    CHECK(other.put(instance(2000)));
+    CHECK(id_of(other) != without_start);
 }
 
 TEST_CASE("an endpoint that starts again for ever takes a bounded memory")
@@ -177,12 +177,12 @@
     EndpointDirectory directory;
     constexpr std::uint64_t many = 5000;
     for (std::uint64_t start = 1; start <= many; ++start) {
-        directory.put(life(start));
+        directory.put(instance(start));
         auto gone = record("gone-" + std::to_string(start));
         gone.started_at = start;
         directory.put(gone);
         directory.remove(gone.incarnation, at(seconds(0)));
     }
-    CHECK(directory.remembered_lives() <= 2 * 1024 + 2);
+    CHECK(directory.remembered_instances() <= 2 * 1024 + 2);
     CHECK(directory.size() == 1);
 }
--- a/Tests/LibRouting/TestEngineSpeed.cpp
+++ b/Tests/LibRouting/TestEngineSpeed.cpp
@@ -30,9 +30,9 @@
     {
         constexpr double tokens = 3000;
         auto const first_piece = tokens / this->tokens_per_millisecond + this->step_milliseconds;
-        estimate.saw_first_piece(tokens, first_piece * this->waiting_factor());
+        estimate.add_first_piece(tokens, first_piece * this->waiting_factor());
         constexpr double answer_tokens = 24;
-        estimate.saw_tokens(answer_tokens, answer_tokens * this->step_milliseconds * this->waiting_factor());
+        estimate.add_tokens(answer_tokens, answer_tokens * this->step_milliseconds * this->waiting_factor());
     }
 };
 
@@ -87,13 +87,13 @@
 {
     EngineSpeedEstimate estimate;
     auto const before = estimate.speed();
-    estimate.saw_first_piece(200, 1);
-    estimate.saw_first_piece(1e9, -5);
-    estimate.saw_first_piece(3000, 0);
-    estimate.saw_first_piece(3000, std::numeric_limits<double>::infinity());
-    estimate.saw_tokens(3, 0.01);
-    estimate.saw_tokens(24, 0);
-    estimate.saw_tokens(24, std::numeric_limits<double>::quiet_NaN());
+    estimate.add_first_piece(200, 1);
+    estimate.add_first_piece(1e9, -5);
+    estimate.add_first_piece(3000, 0);
+    estimate.add_first_piece(3000, std::numeric_limits<double>::infinity());
+    estimate.add_tokens(3, 0.01);
+    estimate.add_tokens(24, 0);
+    estimate.add_tokens(24, std::numeric_limits<double>::quiet_NaN());
     CHECK(estimate.speed() == before);
 }
 
@@ -106,8 +106,8 @@
     auto const before = estimate.speed();
     for (double const absurd : std::array { 1e-9, 1e12 }) {
         auto changed = estimate;
-        changed.saw_first_piece(3000, absurd);
-        changed.saw_tokens(24, absurd);
+        changed.add_first_piece(3000, absurd);
+        changed.add_tokens(24, absurd);
         constexpr double most_change = 0.1;
         CHECK(std::abs(changed.speed().step_milliseconds / before.step_milliseconds - 1) < most_change);
         CHECK(std::abs(changed.speed().prefill_tokens_per_millisecond / before.prefill_tokens_per_millisecond - 1)
@@ -123,14 +123,14 @@
         engines.serve(learnt);
     auto const now = Core::Instant {} + std::chrono::seconds(100);
     EngineSpeedEstimate fresh;
-    fresh.take_peer(1, { learnt.own_speed(), learnt.samples(), now });
+    fresh.apply_peer(1, { learnt.own_speed(), learnt.samples(), now });
     CHECK(is_near(fresh.speed().prefill_tokens_per_millisecond, 200));
     CHECK(is_near(fresh.speed().step_milliseconds, 1.5));
     CHECK(fresh.own_speed() == EngineSpeed {});
     CHECK(fresh.samples() == 0);
     // A box that knows nothing changes nothing.
-    fresh.take_peer(2, { { 1, 1000 }, 0, now });
+    fresh.apply_peer(2, { { 1, 1000 }, 0, now });
     CHECK(is_near(fresh.speed().prefill_tokens_per_millisecond, 200));
-    fresh.take_peer(2, { {}, 0, now + std::chrono::seconds(60) });
+    fresh.apply_peer(2, { {}, 0, now + std::chrono::seconds(60) });
     CHECK(is_near(fresh.speed().prefill_tokens_per_millisecond, EngineSpeed {}.prefill_tokens_per_millisecond));
 }
--- a/Tests/LibRouting/TestPlacement.cpp
+++ b/Tests/LibRouting/TestPlacement.cpp
@@ -134,10 +134,10 @@
     for (std::uint64_t own = 0; own < 50; ++own)
         demand.add(long_answer(own), now);
     CHECK(demand.engines_for_answers(10, now) >= 6);
-    demand.take_told_share(0.3, now);
+    demand.apply_relay_share(0.3, now);
     CHECK(demand.engines_for_answers(10, now + milliseconds(1000)) == 3);
     CHECK(demand.engines_for_answers(20, now + milliseconds(1000)) == 6);
-    CHECK(demand.share_given() == std::optional(0.3));
+    CHECK(demand.answer_share() == std::optional(0.3));
     CHECK(demand.engines_for_answers(10, now + milliseconds(7000)) >= 6);
 }
 
@@ -146,7 +146,7 @@
     EngineDemand demand;
     demand.add(long_answer(1), now);
     CHECK(demand.engines_for_answers(10, now) == 7);
-    demand.take_totals_of_others({ 0, demand.own_totals(now).answer_work * 3 }, now);
+    demand.apply_totals_of_others({ 0, demand.own_totals(now).answer_work * 3 }, now);
     CHECK(demand.engines_for_answers(10, now) == 3);
 }
 
@@ -168,7 +168,7 @@
 {
     Engines engines(9);
     auto const engine = engines.place(long_answer(1));
-    engines.loads[engine].take_told({ 64, 10, 64 }, now);
+    engines.loads[engine].update_reported_load({ 64, 10, 64 }, now);
     CHECK(engines.place(long_answer(1)) != engine);
 }
 
@@ -229,9 +229,9 @@
 
 TEST_CASE("a part that was not used for a while is not counted as kept")
 {
-    PromptMemory memory;
-    memory.remember({ { 1, 100 }, { 2, 100 } }, now);
-    CHECK(memory.holds(1, now + seconds(9)));
-    CHECK_FALSE(memory.holds(1, now + seconds(11)));
-    CHECK_FALSE(memory.holds(3, now));
+    PromptCacheEstimate cache;
+    cache.record({ { 1, 100 }, { 2, 100 } }, now);
+    CHECK(cache.contains(1, now + seconds(9)));
+    CHECK_FALSE(cache.contains(1, now + seconds(11)));
+    CHECK_FALSE(cache.contains(3, now));
 }
--- a/Tests/LibRouting/TestRareReports.cpp
+++ b/Tests/LibRouting/TestRareReports.cpp
@@ -33,14 +33,14 @@
     }
 
     /// Requests that reach an engine whose slots are all taken, of those of half a minute.
-    [[nodiscard]] unsigned play(double compared_share)
+    [[nodiscard]] unsigned run(double compared_share)
     {
         unsigned met_full_engine = 0;
         constexpr auto gap = Core::Duration(seconds(1)) / requests_per_second;
         auto const end = this->now + seconds(30);
         for (; this->now < end; this->now += gap) {
             this->end_answers();
-            this->tell_reports();
+            this->send_reports();
             met_full_engine += this->send(compared_share) ? 1 : 0;
         }
         return met_full_engine;
@@ -85,27 +85,27 @@
     }
 
     /// Each box tells the others in its turn.
-    void tell_reports()
+    void send_reports()
     {
         for (; this->now >= this->reports_at; this->reports_at += report_interval / box_count) {
-            auto const teller = this->next_teller++ % box_count;
-            for (std::size_t hearer = 0; hearer < box_count; ++hearer) {
+            auto const sender = this->next_sender++ % box_count;
+            for (std::size_t receiver = 0; receiver < box_count; ++receiver) {
                 for (auto const& endpoint : this->endpoints)
-                    this->tell(teller, hearer, endpoint.id);
+                    this->send_report(sender, receiver, endpoint.id);
             }
         }
     }
 
-    void tell(std::size_t teller, std::size_t hearer, EndpointId endpoint)
+    void send_report(std::size_t sender, std::size_t receiver, EndpointId endpoint)
     {
-        auto const own = this->loads[teller][endpoint].own_running();
-        if (teller != hearer)
-            this->loads[hearer][endpoint].take_peer(teller, {}, static_cast<unsigned>(own), this->now);
+        auto const own = this->loads[sender][endpoint].own_running();
+        if (sender != receiver)
+            this->loads[receiver][endpoint].apply_peer(sender, {}, static_cast<unsigned>(own), this->now);
     }
 
     Instant now { seconds(100) };
     Instant reports_at { seconds(100) };
-    std::size_t next_teller { 0 };
+    std::size_t next_sender { 0 };
     std::vector<KnownEndpoint> endpoints;
     std::vector<KnownEndpoint const*> candidates;
     std::array<LoadTable, box_count> loads;
@@ -122,9 +122,9 @@
 TEST_CASE("boxes that seldom hear of each other's load don't all send to the engine that was the emptiest then")
 {
     Boxes comparing_all;
-    auto const with_all = comparing_all.play(1);
+    auto const with_all = comparing_all.run(1);
     Boxes comparing_few;
-    auto const with_few = comparing_few.play(0.05);
+    auto const with_few = comparing_few.run(0.05);
     MESSAGE("sends to full engines, all compared: ", with_all, ", few compared: ", with_few);
     CHECK(with_few * 3 < with_all);
 }
--- a/Tests/LibRouting/TestRateLimits.cpp
+++ b/Tests/LibRouting/TestRateLimits.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr EndpointId endpoint { 1 };
-EndpointLife const life { "e1", 0 };
+EndpointInstance const instance { "e1", 0 };
 constexpr RateLimit none {};
 constexpr Instant start = Instant {} + seconds(100);
 constexpr SharedMicroseconds slot_start = 1'000'000'000'000;
@@ -28,7 +28,7 @@
 {
     unsigned all = 0;
     for (auto const& name : names)
-        all += schedule.requests_of(slot, "e1", BoxGroup(name, names));
+        all += schedule.allotment(slot, "e1", BoxGroup(name, names));
     return all;
 }
 
@@ -58,7 +58,7 @@
     for (auto const& name : names) {
         unsigned of_box = 0;
         for (std::uint64_t slot = 0; slot < 100; ++slot)
-            of_box += schedule.requests_of(slot, "e1", BoxGroup(name, names));
+            of_box += schedule.allotment(slot, "e1", BoxGroup(name, names));
         CHECK(of_box > 5);
     }
 }
@@ -73,47 +73,48 @@
 TEST_CASE("a limit holds until an answer to a request that was sent under it says otherwise")
 {
     EndpointNotices notices;
-    CHECK_FALSE(notices.answered(endpoint, life, { none }, start, start));
-    auto const limited = notices.answered(endpoint, life, { { 2 } }, start, start + seconds(1));
+    CHECK_FALSE(notices.apply_answer(endpoint, instance, { none }, start, start));
+    auto const limited = notices.apply_answer(endpoint, instance, { { 2 } }, start, start + seconds(1));
     REQUIRE(limited);
     CHECK(limited->version == 1);
     // Sent before the limit was known: it may have been answered before it was named.
-    CHECK_FALSE(notices.answered(endpoint, life, { none }, start + milliseconds(999), start + seconds(2)));
+    CHECK_FALSE(notices.apply_answer(endpoint, instance, { none }, start + milliseconds(999), start + seconds(2)));
     CHECK(notices.limit_of(endpoint) == RateLimit { 2 });
-    CHECK(notices.answered(endpoint, life, { { 1 } }, start, start + seconds(2))->condition.limit == RateLimit { 1 });
-    CHECK_FALSE(notices.answered(endpoint, life, { { 2 } }, start + seconds(1), start + seconds(3)));
-    auto const ended = notices.answered(endpoint, life, { none }, start + seconds(2), start + seconds(3));
+    CHECK(notices.apply_answer(endpoint, instance, { { 1 } }, start, start + seconds(2))->condition.limit
+        == RateLimit { 1 });
+    CHECK_FALSE(notices.apply_answer(endpoint, instance, { { 2 } }, start + seconds(1), start + seconds(3)));
+    auto const ended = notices.apply_answer(endpoint, instance, { none }, start + seconds(2), start + seconds(3));
     REQUIRE(ended);
     CHECK(ended->version == 3);
     CHECK(notices.limit_of(endpoint) == none);
-    CHECK(notices.limited() == 0);
+    CHECK(notices.limited_count() == 0);
 }
 
 TEST_CASE("what another box told is taken if it is newer, however late it comes")
 {
     EndpointNotices notices;
-    CHECK(notices.take(endpoint, { life, 3, { { 1 } } }, start));
-    CHECK_FALSE(notices.take(endpoint, { life, 3, { { 1 } } }, start));
-    CHECK_FALSE(notices.take(endpoint, { life, 2, { none } }, start + seconds(9)));
+    CHECK(notices.apply(endpoint, { instance, 3, { { 1 } } }, start));
+    CHECK_FALSE(notices.apply(endpoint, { instance, 3, { { 1 } } }, start));
+    CHECK_FALSE(notices.apply(endpoint, { instance, 2, { none } }, start + seconds(9)));
     CHECK(notices.limit_of(endpoint) == RateLimit { 1 });
     // Two boxes saw different changes of the same version: the tighter limit is the safer one.
-    CHECK_FALSE(notices.take(endpoint, { life, 3, { { 5 } } }, start));
-    CHECK(notices.take(endpoint, { life, 3, { { 0.5 } } }, start));
-    CHECK(notices.take(endpoint, { life, 4, { none } }, start + seconds(1)));
+    CHECK_FALSE(notices.apply(endpoint, { instance, 3, { { 5 } } }, start));
+    CHECK(notices.apply(endpoint, { instance, 3, { { 0.5 } } }, start));
+    CHECK(notices.apply(endpoint, { instance, 4, { none } }, start + seconds(1)));
     CHECK(notices.limit_of(endpoint) == none);
     // An answer that names a limit was given under the old one if its request was sent before the end was known; a box
     // keeps to it until the next answer.
-    CHECK(notices.answered(endpoint, life, { { 1 } }, start, start + seconds(2))->version == 5);
+    CHECK(notices.apply_answer(endpoint, instance, { { 1 } }, start, start + seconds(2))->version == 5);
 }
 
 TEST_CASE("the end of a limit is told on for a while, a limit for as long as it holds")
 {
     EndpointNotices notices;
-    notices.take(endpoint, { life, 1, { { 1 } } }, start);
-    CHECK(notices.worth_telling(start + seconds(3600)).size() == 1);
-    notices.take(endpoint, { life, 2, { none } }, start + seconds(3600));
-    CHECK(notices.worth_telling(start + seconds(3610)).size() == 1);
-    CHECK(notices.worth_telling(start + seconds(3640)).empty());
+    notices.apply(endpoint, { instance, 1, { { 1 } } }, start);
+    CHECK(notices.active(start + seconds(3600)).size() == 1);
+    notices.apply(endpoint, { instance, 2, { none } }, start + seconds(3600));
+    CHECK(notices.active(start + seconds(3610)).size() == 1);
+    CHECK(notices.active(start + seconds(3640)).empty());
 }
 
 TEST_CASE("a box sends its part of a slot and no more, and keeps it for the most urgent requests where these need it")
@@ -121,25 +122,25 @@
     constexpr SharedMicroseconds slot = 1'000'000;
     constexpr SharedMicroseconds late = 600'000;
     EndpointNotices notices;
-    CHECK(notices.may_send(endpoint, SendRank::Later, slot_start));
+    CHECK(notices.may_send(endpoint, SendPriority::Low, slot_start));
     CHECK_FALSE(notices.count_send(endpoint, slot_start));
-    notices.take(endpoint, { life, 1, { { 10 } } }, start);
+    notices.apply(endpoint, { instance, 1, { { 10 } } }, start);
     // Nobody urgent has asked, so less urgent requests may use it all.
     int sent = 0;
-    while (notices.may_send(endpoint, SendRank::Later, slot_start) && sent < 100) {
+    while (notices.may_send(endpoint, SendPriority::Low, slot_start) && sent < 100) {
         notices.count_send(endpoint, slot_start);
         ++sent;
     }
     CHECK(sent == 9);
     for (int request = 0; request < 20; ++request)
-        CHECK_FALSE(notices.may_send(endpoint, SendRank::First, slot_start + late));
+        CHECK_FALSE(notices.may_send(endpoint, SendPriority::High, slot_start + late));
     // More urgent ones asked than there is room for: the first half of the next slot is theirs.
-    CHECK_FALSE(notices.may_send(endpoint, SendRank::Later, slot_start + slot));
-    CHECK(notices.may_send(endpoint, SendRank::First, slot_start + slot));
-    CHECK(notices.may_send(endpoint, SendRank::Later, slot_start + slot + late));
+    CHECK_FALSE(notices.may_send(endpoint, SendPriority::Low, slot_start + slot));
+    CHECK(notices.may_send(endpoint, SendPriority::High, slot_start + slot));
+    CHECK(notices.may_send(endpoint, SendPriority::Low, slot_start + slot + late));
     // One asked then, so one is kept.
     int sent_beside = 0;
-    while (notices.may_send(endpoint, SendRank::Later, slot_start + 2 * slot) && sent_beside < 100) {
+    while (notices.may_send(endpoint, SendPriority::Low, slot_start + 2 * slot) && sent_beside < 100) {
         notices.count_send(endpoint, slot_start + 2 * slot);
         ++sent_beside;
     }
@@ -149,11 +150,11 @@
 TEST_CASE("callers that find no room come back spread over time, the most urgent ones first")
 {
     constexpr Duration slot = seconds(1);
-    CHECK(come_back_after_limit(slot, 0, 0) == milliseconds(500));
-    CHECK(come_back_after_limit(slot, 0, 1) == milliseconds(1500));
+    CHECK(retry_after_limit(slot, 0, 0) == milliseconds(500));
+    CHECK(retry_after_limit(slot, 0, 1) == milliseconds(1500));
     for (double const drawn : { 0.0, 0.5, 1.0 })
-        CHECK(come_back_after_limit(slot, 2, drawn) > come_back_after_limit(slot, 0, drawn));
-    CHECK(come_back_after_limit(slot, 1000, 0) == come_back_after_limit(slot, 3, 0));
+        CHECK(retry_after_limit(slot, 2, drawn) > retry_after_limit(slot, 0, drawn));
+    CHECK(retry_after_limit(slot, 1000, 0) == retry_after_limit(slot, 3, 0));
 }
 
 TEST_CASE("an endpoint gets no more than its limit from any number of boxes that start, are lost and disagree on time")
@@ -162,7 +163,7 @@
     for (std::size_t const boxes : { 1, 6, 88, 300 }) {
         for (double const limit : { 0.0, 0.2, 1.0, 20.0 }) {
             for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-                auto const result = Play({ boxes, limit, 5, Timetable {}, seed }).run();
+                auto const result = Simulation({ boxes, limit, 5, SlotSchedule {}, seed }).run();
                 CAPTURE(boxes);
                 CAPTURE(limit);
                 CAPTURE(seed);
@@ -176,7 +177,7 @@
 {
     using namespace RateLimitPlay;
     for (std::size_t const boxes : { 6, 88, 300 }) {
-        auto const result = Play({ boxes, 20, 5, Timetable {}, 1 }).run();
+        auto const result = Simulation({ boxes, 20, 5, SlotSchedule {}, 1 }).run();
         CHECK(result.used >= 0.8);
         CHECK(result.used_after_loss >= 0.6);
     }
@@ -185,6 +186,6 @@
 TEST_CASE("the play shows ways that break the limit")
 {
     using namespace RateLimitPlay;
-    CHECK(Play({ 6, 1, 5, Unheeded {}, 1 }).run().most_in_window > allowed(1));
-    CHECK(Play({ 300, 20, 5, EqualShares {}, 1 }).run().most_in_window > allowed(20));
+    CHECK(Simulation({ 6, 1, 5, IgnoredLimit {}, 1 }).run().most_in_window > allowed(1));
+    CHECK(Simulation({ 300, 20, 5, EqualShares {}, 1 }).run().most_in_window > allowed(20));
 }
--- a/Tests/LibRouting/TestRequestRouter.cpp
+++ b/Tests/LibRouting/TestRequestRouter.cpp
@@ -131,7 +131,7 @@
     SUBCASE("told after it has read the older one")
     {
         Box const box;
-        box.router->note_due_configuration(2, at(milliseconds(500)));
+        box.router->note_overdue_configuration(2, at(milliseconds(500)));
         CHECK(box.refusal(request("/a/x", "k"), at(milliseconds(500))) == Reason::ConfigurationExpired);
         CHECK(box.refusal(request("/open/x", ""), at(milliseconds(500))) == Reason::ConfigurationExpired);
         box.router->offer_configuration(configuration(2, { "k" }), at(milliseconds(600)));
@@ -140,7 +140,7 @@
     SUBCASE("told before it has read any")
     {
         RequestRouter router({ "hall", { seconds(2), seconds(5) }, {}, {} }, 7);
-        router.note_due_configuration(2, at(seconds(0)));
+        router.note_overdue_configuration(2, at(seconds(0)));
         router.offer_configuration(configuration(1, { "k" }), std::nullopt);
         auto const decision = router.admit(request("/a/x", "k"), at(milliseconds(10)));
         REQUIRE(std::holds_alternative<Rejected>(decision));
@@ -267,15 +267,15 @@
     };
     auto const first = place(at(seconds(0)));
     auto const second = first == "a" ? "b" : "a";
-    box.router->take_load_report(1, { { { first, Duration { 0 }, 6 } }, {} }, at(seconds(0)));
+    box.router->apply_load_report(1, { { { first, Duration { 0 }, 6 } }, {} }, at(seconds(0)));
     CHECK(place(at(milliseconds(10))) == second);
     // Another box changes nothing of what the first one told; its own next report does.
-    box.router->take_load_report(2, { { { second, Duration { 0 }, 1 } }, {} }, at(milliseconds(20)));
+    box.router->apply_load_report(2, { { { second, Duration { 0 }, 1 } }, {} }, at(milliseconds(20)));
     CHECK(place(at(milliseconds(30))) == second);
-    box.router->take_load_report(1, {}, at(milliseconds(40)));
+    box.router->apply_load_report(1, {}, at(milliseconds(40)));
     CHECK(place(at(milliseconds(50))) == first);
     // A report ages out, and one of an endpoint that this box does not know is no matter.
-    box.router->take_load_report(
+    box.router->apply_load_report(
         1, { { { first, Duration { 0 }, 6 }, { "gone", seconds(9), 9 } }, {} }, at(seconds(1)));
     CHECK(place(at(milliseconds(1010))) == second);
     CHECK(place(at(milliseconds(3600))) == first);
--- a/Tests/LibRouting/TestRetryAllowance.cpp
+++ b/Tests/LibRouting/TestRetryAllowance.cpp
@@ -1,6 +1,6 @@
 #include <TestMain.h>
 
-#include <LibRouting/RetryAllowance.h>
+#include <LibRouting/RetryBudget.h>
 #include <algorithm>
 #include <pcg_random.hpp>
 #include <vector>
@@ -22,39 +22,39 @@
 {
     constexpr int boxes = 7;
     RetryBounds const bounds { 0.2, seconds(10), 52 };
-    std::vector<RetryAllowance> allowances(boxes, RetryAllowance(bounds));
+    std::vector<RetryBudget> budgets(boxes, RetryBudget(bounds));
     pcg32 random(20261202);
     std::vector<Instant> requests;
-    std::vector<Instant> repeats;
+    std::vector<Instant> retries;
     auto now = Instant {} + seconds(1);
     for (int step = 0; step < 20000; ++step) {
         // Traffic comes in waves, so that a window of few requests follows one of many.
         now += milliseconds(step / 2000 % 2 == 0 ? 2 : 40);
-        auto& allowance = allowances[random(boxes)];
-        allowance.request_sent(now);
+        auto& budget = budgets[random(boxes)];
+        budget.request_sent(now);
         requests.push_back(now);
-        if (random(2) == 0 && allowance.try_spend(now))
-            repeats.push_back(now);
+        if (random(2) == 0 && budget.try_spend(now))
+            retries.push_back(now);
         auto const in_window = count_after(requests, now - bounds.window);
         auto const before = count_after(requests, now - 2 * bounds.window) - in_window;
         auto const most = std::max(in_window, before) * bounds.ratio + bounds.slack;
-        REQUIRE(count_after(repeats, now - bounds.window) <= most);
+        REQUIRE(count_after(retries, now - bounds.window) <= most);
         if (step % 500 == 0) {
             std::erase_if(requests, [&](Instant instant) { return instant < now - 3 * bounds.window; });
-            std::erase_if(repeats, [&](Instant instant) { return instant < now - 3 * bounds.window; });
+            std::erase_if(retries, [&](Instant instant) { return instant < now - 3 * bounds.window; });
         }
     }
-    CHECK(!repeats.empty());
+    CHECK(!retries.empty());
 }
 
 TEST_CASE("a box without requests may repeat little, and again once the window has passed")
 {
-    RetryAllowance allowance({ 0.2, seconds(10), 50 });
+    RetryBudget budget({ 0.2, seconds(10), 50 });
     auto const start = Instant {} + seconds(100);
     int spent = 0;
-    while (allowance.try_spend(start))
+    while (budget.try_spend(start))
         ++spent;
     CHECK(spent == 2);
-    CHECK_FALSE(allowance.try_spend(start + seconds(9)));
-    CHECK(allowance.try_spend(start + seconds(11)));
+    CHECK_FALSE(budget.try_spend(start + seconds(9)));
+    CHECK(budget.try_spend(start + seconds(11)));
 }
--- a/Tests/LibRouting/TestTurnedAway.cpp
+++ b/Tests/LibRouting/TestTurnedAway.cpp
@@ -21,9 +21,9 @@
 
 /// Callers who try once each, before a service of nine endpoints some of which turn away nine requests in ten and name
 /// no time to come back.
-class Play {
+class Simulation {
 public:
-    explicit Play(std::uint64_t seed)
+    explicit Simulation(std::uint64_t seed)
         : router({ "hall", { seconds(200), seconds(500) }, {}, {} }, seed)
         , random(seed)
     {
@@ -46,7 +46,7 @@
     }
 
     /// The part of the requests that is turned away while so many endpoints do so.
-    double turned_away(int overloaded, Duration from, Duration until)
+    double turned_away_share(int overloaded, Duration from, Duration until)
     {
         int requests = 0;
         int refused = 0;
@@ -59,10 +59,10 @@
     }
 
     /// Requests that these endpoints get in the time.
-    int reach(int endpoints, Duration from, Duration until)
+    int requests_to(int endpoints, Duration from, Duration until)
     {
         this->sent_to.clear();
-        static_cast<void>(this->turned_away(0, from, until));
+        static_cast<void>(this->turned_away_share(0, from, until));
         int sent = 0;
         for (int number = 0; number < endpoints; ++number)
             sent += this->sent_to[std::to_string(number)];
@@ -112,11 +112,12 @@
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        Play play(seed);
+        Simulation simulation(seed);
         constexpr int overloaded = 4;
-        CHECK(play.turned_away(overloaded, seconds(0), seconds(12)) <= 0.1);
-        static_cast<void>(play.turned_away(0, seconds(12), seconds(14)));
+        CHECK(simulation.turned_away_share(overloaded, seconds(0), seconds(12)) <= 0.1);
+        static_cast<void>(simulation.turned_away_share(0, seconds(12), seconds(14)));
         auto const requests = seconds(6) / request_interval;
-        CHECK(play.reach(overloaded, seconds(14), seconds(20)) >= requests * overloaded / endpoint_count / 2);
+        CHECK(
+            simulation.requests_to(overloaded, seconds(14), seconds(20)) >= requests * overloaded / endpoint_count / 2);
     }
 }
--- a/Tests/LibRouting/TestWaitLimit.cpp
+++ b/Tests/LibRouting/TestWaitLimit.cpp
@@ -40,7 +40,7 @@
 
     void queue(Duration on_a, Duration on_b)
     {
-        this->router.take_load_report(1, { { { "a", on_a, 1 }, { "b", on_b, 1 } }, {} }, now);
+        this->router.apply_load_report(1, { { { "a", on_a, 1 }, { "b", on_b, 1 } }, {} }, now);
     }
     [[nodiscard]] std::variant<Placed, Rejected> place(
         std::uint32_t prompt_tokens, std::vector<EndpointId> const& tried = {})
--- a/Tests/PlatformAdapter/TestRequestCodec.cpp
+++ b/Tests/PlatformAdapter/TestRequestCodec.cpp
@@ -156,7 +156,7 @@
     auto const moved = facts("HTTP/1.1 421 Misdirected Request\r\n");
     CHECK(moved.not_run);
     CHECK(moved.is_other_endpoint);
-    CHECK(facts("HTTP/1.1 200 OK\r\nX-Server-Load: 3,0,8\r\n").load == Routing::ToldLoad { 3, 0, 8 });
+    CHECK(facts("HTTP/1.1 200 OK\r\nX-Server-Load: 3,0,8\r\n").load == Routing::ReportedLoad { 3, 0, 8 });
     CHECK_FALSE(facts("HTTP/1.1 200 OK\r\nX-Server-Load: 3,x,8\r\n").load);
     CHECK_FALSE(facts("HTTP/1.1 200 OK\r\nX-Server-Load: 3,0\r\n").load);
 }
