--- a/Libraries/LibRouting/Configuration.h
+++ b/Libraries/LibRouting/Configuration.h
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-/// Decisions of the platform front that need no I/O: configuration, endpoints, placement, retries.
+/// Request routing without I/O: configuration, endpoints, placement and retries.
 namespace Routing {
 
 using Core::Duration;
 using Core::Instant;
 
-/// What sending a request twice would do.
+/// Whether a request of a route may run more than once.
 enum class RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once for each attempt of the client.
     NonIdempotent,
-    /// Answers with events as they are made; runs at most once unless the route says that it can be resumed.
+    /// Answers with a stream of events; runs at most once unless the route can resume streams.
     Streaming,
 };
 
@@ -38,14 +38,14 @@
     std::string host;
     std::string path_prefix;
     RouteKind kind { RouteKind::NonIdempotent };
-    /// The longest that the operator wants a request held.
+    /// The longest time that a request may be held.
     Duration timeout { 0 };
-    /// Within this time an answer earns its full benefit.
+    /// The time within which an answer has its full value; 0 for no goal.
     Duration goal { 0 };
     /// 0 is the most urgent.
     unsigned priority { 0 };
     std::vector<ServiceShare> services;
-    /// The most endpoints that one attempt of a client may be sent to.
+    /// The number of endpoints to which one attempt of a client may be sent.
     unsigned max_attempts { 1 };
     /// Whether requests need no API key.
     bool is_public { false };
@@ -60,28 +60,28 @@
     }
 };
 
-/// What the configuration says of a service that runs a language model.
+/// Properties of the engines of a service that runs a language model.
 struct EngineTraits {
     unsigned slots { 1 };
-    /// Memory for prompts and answers, in tokens.
+    /// Capacity of the prompt and answer cache, in tokens.
     std::uint64_t cache_tokens { 0 };
-    /// Tokens in one event of a stream.
+    /// Tokens in one event of a streamed answer.
     unsigned tokens_per_event { 1 };
 
     bool operator==(EngineTraits const&) const = default;
 };
 
-/// How many servers of a service may be ordered from the platform.
+/// Limits and prices for the servers of a service that can be ordered from the platform.
 struct ServerScaling {
-    /// In each failure domain, of all kinds together.
+    /// In each failure domain, permanent and revocable servers together.
     unsigned min_servers { 0 };
     unsigned max_servers { 0 };
-    /// From the order until a server takes requests.
+    /// Time from the order until a server accepts requests.
     Duration start_time { 0 };
-    /// Price of a server that the platform may take away again, as a part of the price of others; nothing where there
-    /// are none.
+    /// Price of a revocable server as a fraction of the price of a permanent one; unset if there are no revocable
+    /// servers.
     std::optional<double> revocable_price;
-    /// Price of a server by failure domain, of those in which there may be any.
+    /// Price of a server by failure domain. Servers may be ordered in these failure domains only.
     std::map<std::string, double> domain_prices;
 
     bool operator==(ServerScaling const&) const = default;
@@ -92,13 +92,13 @@
     /// Connections that one endpoint accepts from all boxes together.
     unsigned max_connections { 0 };
     std::optional<EngineTraits> engine;
-    /// Nothing where the number of servers isn't the system's to choose.
+    /// Unset if the number of servers is not managed by this system.
     std::optional<ServerScaling> scaling {};
 
     bool operator==(Service const&) const = default;
 };
 
-/// Bounds on what a client may send, and on how long it may take or stay idle.
+/// Limits on the size and duration of a client's request, and on idle connections.
 struct ClientLimits {
     std::uint32_t max_header_bytes { 16 * 1024 };
     std::uint64_t max_body_bytes { 4 * 1024 * 1024 };
@@ -111,19 +111,20 @@
 struct ClientAccount {
     std::string name;
     std::vector<std::string> api_keys;
-    /// Decides among requests whose routes have the same priority. docs/QUESTIONS.md tells why not the other way round.
+    /// Orders requests whose routes have equal priority; 0 is the most urgent. docs/QUESTIONS.md explains why the
+    /// priority of the route comes first.
     std::optional<unsigned> priority;
 
     bool operator==(ClientAccount const&) const = default;
 };
 
-/// One version of what operators configured. Versions rise, in uneven steps.
+/// One version of the operators' configuration. Versions increase, not always by one.
 struct Configuration {
     std::uint64_t version { 0 };
     std::vector<Route> routes;
     std::vector<Service> services;
     ClientLimits limits;
-    /// Without accounts no request needs a key.
+    /// If unset, requests need no API key.
     std::optional<std::vector<ClientAccount>> accounts;
 
     bool operator==(Configuration const&) const = default;
--- a/Libraries/LibRouting/ConfigurationLease.h
+++ b/Libraries/LibRouting/ConfigurationLease.h
@@ -4,30 +4,31 @@
 
 namespace Routing {
 
-/// How far the configuration in force can be relied on.
+/// How current the configuration in force is.
 enum class ConfigurationFreshness {
-    /// None was read yet.
+    /// No configuration has been read yet.
     Missing,
-    /// Confirmed a short while ago: what it does not allow may be refused for good.
+    /// Recently confirmed: unknown routes and keys may be refused permanently.
     Fresh,
-    /// A newer one may exist, or is known to: what it allows is served, what it does not allow may be allowed by now.
+    /// A newer version may exist or is known to exist. Requests that this version allows are served; others may be
+    /// allowed by the newer version, so they are refused with a time to retry.
     Aging,
-    /// A key may have been taken away for longer than the operator accepts: requests with a key are not served. Or a
-    /// newer one is known to exist and should be in force by now: nothing is served.
+    /// Either a key may have been revoked for longer than the operator accepts, and requests with a key are not served.
+    /// Or a newer version should have been in force by now, and no request is served.
     Expired,
 };
 
 struct LeaseBounds {
-    /// A configuration must be in force this long after the store acknowledged it.
+    /// Time within which a configuration must be in force after the store acknowledged it.
     Duration apply_within { std::chrono::seconds(2) };
-    /// A key must be refused this long after the store acknowledged that it is gone; nothing for no such bound.
+    /// Time within which a key must be refused after the store acknowledged its removal; unset for no limit.
     std::optional<Duration> revoke_within;
 
     bool operator==(LeaseBounds const&) const = default;
 };
 
-/// The configuration in force on this box, held on a lease that the store renews by confirming that nothing newer
-/// exists. Versions only rise.
+/// The configuration in force on this box. It is held on a lease, which the store renews by confirming that no newer
+/// version exists. Versions never decrease.
 class ConfigurationLease {
 public:
     explicit ConfigurationLease(LeaseBounds bounds)
@@ -35,47 +36,49 @@
     {
     }
 
-    /// Takes the configuration if it is newer than the one in force. `confirmed_at` is the moment at which nothing
-    /// newer existed; nothing where more versions are known to follow, which renews no lease.
+    /// Puts the configuration in force if it is newer than the current one, and returns whether it was. No newer
+    /// version existed at `confirmed_at`; it is unset if more versions are known to follow, and the lease is then not
+    /// renewed.
     bool offer(SharedConfiguration offered, std::optional<Instant> confirmed_at);
-    /// The store said to a read sent at `read_sent_at` that nothing newer exists.
+    /// The store answered a read sent at `read_sent_at` that no newer version exists.
     void confirm(Instant read_sent_at);
-    /// This box was told at `told_at` that the version, or a newer one, exists, by a box that has known it since
-    /// `known_since`; both are the same where this box read it.
+    /// Another box or the store reported at `notified_at` that this version or a newer one exists. The reporting box
+    /// has known the version since `known_since`, which equals `notified_at` if this box read it from the store.
     void note_version(std::uint64_t version, Instant notified_at, Instant known_since);
-    /// The same of a version that the store lost and that others have had for longer than the bound for applying
-    /// changes: what it took away must be gone here as well.
+    /// Like note_version(), for a version that the store has lost and that other boxes have had for longer than
+    /// `apply_within`: keys and routes that the version removed must be refused here at once.
     void note_overdue_version(std::uint64_t version, Instant notified_at);
-    /// Whether a newer version than the one in force is known to exist.
+    /// Whether a version newer than the one in force is known to exist.
     [[nodiscard]] bool is_superseded() const
     {
         return this->in_force && this->in_force->version() < this->newest_known;
     }
-    /// The box was suspended until `resumed_at`. What the store confirmed before the bound for applying changes is not
-    /// served on until it is confirmed anew, which takes some 10 ms where the store can be reached.
+    /// The box was suspended until `resumed_at`. If the last confirmation is older than `apply_within`, requests are
+    /// refused until the store confirms the version again, which takes about 10 ms if the store can be reached.
     void after_suspension(Instant resumed_at) { this->unconfirmed_since = resumed_at; }
     void set_bounds(LeaseBounds changed) { this->bounds = changed; }
 
     [[nodiscard]] ConfigurationFreshness freshness(Instant now) const;
     [[nodiscard]] Duration age(Instant now) const { return now - this->last_confirmed_at; }
-    /// Since when the version in force has been known to this box or to whoever told it; nothing if neither said so.
+    /// Since when the version in force has been known to this box or to the box that reported it; unset if neither is
+    /// known.
     [[nodiscard]] std::optional<Instant> const& known_since() const { return this->in_force_known_since; }
-    /// The configuration in force; null before the first.
+    /// The configuration in force; null before the first one.
     [[nodiscard]] SharedConfiguration const& current() const { return this->in_force; }
 
 private:
     void put_in_force(SharedConfiguration offered);
 
-    /// Part of the revocation bound after which keys are no longer trusted. The rest covers the way from the check to
-    /// the endpoint and clocks that run unevenly.
+    /// Fraction of `revoke_within` after which keys are no longer accepted. The rest covers the time from the check to
+    /// the endpoint and differences in clock speed.
     static constexpr double share_of_revoke_bound = 0.9;
-    /// Added to the bound for applying changes before refusals stop being final: the moment that a read vouches for
-    /// lies up to a second before its answer, since the read waits at the store.
+    /// Added to `apply_within` before refusals stop being permanent. The store holds reads back for up to a second, so
+    /// an answer confirms a moment that lies that long before it.
     static constexpr Duration max_read_wait { std::chrono::seconds(1) };
 
-    /// Part of the bound for applying changes by which a box in touch is told of a version late: relays of relays
-    /// know nothing older. What is later comes from a lost way, and a box that has it back gets the rest of the bound
-    /// to read the version before it refuses.
+    /// The latest that a connected box is notified of a version, through relays of relays, as a fraction of
+    /// `apply_within`. A later notification means that the box was cut off; it gets the rest of `apply_within` to read
+    /// the version before it refuses requests.
     static constexpr double max_notification_delay_share { 0.55 };
 
     LeaseBounds bounds;
@@ -85,9 +88,9 @@
     std::uint64_t newest_known { 0 };
     Instant newest_notified_at;
     Instant newest_known_since;
-    /// When the box woke, until the store has confirmed what it knows.
+    /// When the box resumed after a suspension; unset once the store has confirmed the version in force.
     std::optional<Instant> unconfirmed_since;
-    /// Since when a newer version than the one in force has been known to this box or to whoever told it.
+    /// Since when a newer version has been known to this box or to the box that reported it.
     Instant superseded_since;
 };
 
--- a/Libraries/LibRouting/ConfigurationSnapshot.h
+++ b/Libraries/LibRouting/ConfigurationSnapshot.h
@@ -9,7 +9,8 @@
 
 namespace Routing {
 
-/// A configuration with the indexes that requests are looked up by. Immutable, shared by the requests it decided on.
+/// An immutable configuration with indexes for looking up routes, accounts and services. Shared by the requests that it
+/// was applied to.
 class ConfigurationSnapshot {
 public:
     explicit ConfigurationSnapshot(Configuration configuration);
@@ -18,18 +19,18 @@
 
     [[nodiscard]] Configuration const& configuration() const { return this->contents; }
     [[nodiscard]] std::uint64_t version() const { return this->contents.version; }
-    /// The route of the host whose prefix begins the path and is longest; null for none. `host` may carry a port,
+    /// The route of the host with the longest prefix that matches the path; null for none. `host` may include a port,
     /// `path` a query.
     [[nodiscard]] Route const* find_route(std::string_view host, std::string_view path) const;
     /// The account that holds the key; null for none.
     [[nodiscard]] ClientAccount const* find_account(std::string_view api_key) const;
     [[nodiscard]] Service const* find_service(std::string_view name) const;
-    /// The longest goal of the routes to a service whose requests are as urgent as `priority` or less.
+    /// The longest goal of all routes to the service with this priority or a less urgent one.
     [[nodiscard]] Duration longest_goal(std::string_view service, unsigned priority) const;
     [[nodiscard]] bool needs_keys() const { return this->contents.accounts.has_value(); }
 
 private:
-    /// What a route is looked up by: its host's place in `hosts`, and its prefix.
+    /// Lookup key of a route: the index of its host in `hosts`, and its prefix.
     struct RouteKey {
         std::uint32_t host { 0 };
         std::string_view prefix;
@@ -50,14 +51,14 @@
     void index_goals();
 
     Configuration contents;
-    /// In lower case, without port. Routes have few hosts.
+    /// Index by host name, in lower case and without port.
     std::unordered_map<std::string, std::uint32_t> hosts;
-    /// One piece of memory that refers to the prefixes of the routes themselves: a text and a node for each of 10,000
-    /// routes take twice the memory, and the event loop stands still while they are freed.
+    /// A flat map whose keys refer to the prefixes stored in the routes. With 10,000 routes, a string and a node for
+    /// each would take twice the memory and block the event loop while they are freed.
     boost::unordered_flat_map<RouteKey, std::uint32_t, RouteKeyHash> routes_by_key;
     std::unordered_map<std::string_view, std::size_t> accounts_by_key;
     std::unordered_map<std::string_view, std::size_t> services_by_name;
-    /// For each service, by rising priority, the longest goal of the routes of that priority or less urgent.
+    /// For each service, ordered by priority: the longest goal of the routes of that priority or less urgent ones.
     std::unordered_map<std::string_view, std::vector<GoalOfPriority>> goals_by_service;
 };
 
--- a/Libraries/LibRouting/CrashLedger.h
+++ b/Libraries/LibRouting/CrashLedger.h
@@ -9,100 +9,100 @@
 
 namespace Routing {
 
-/// One run of a request that ended with the process of its endpoint.
+/// A run of a request during which the process of its endpoint crashed.
 struct CrashReport {
     RequestFingerprint request;
     EndpointInstance endpoint;
-    /// This crash, and those of the request that were known when the run began.
+    /// This crash and the crashes of the request that were known when the run began.
     unsigned count { 1 };
 
     bool operator==(CrashReport const&) const = default;
 };
 
-/// When an endpoint's answer to this box was asked for, and on what.
+/// When the connection and the request of an endpoint's answer began.
 struct AnswerTiming {
-    /// When the connection came up.
     Instant connected_at;
     Instant sent_at;
 
     bool operator==(AnswerTiming const&) const = default;
 };
 
-/// What is held against a request.
+/// What is known of a request's crashes.
 struct CrashStatus {
-    /// Crashes, each of a run that began when the one before was known.
+    /// Crashes that count: each occurred in a run that began when the previous crash was known.
     unsigned crashes { 0 };
-    /// How long the request is still refused; nothing if it may run.
+    /// How much longer the request is refused; unset if it may run.
     std::optional<Duration> refused_for;
-    /// A run of it is under way that shows whether it may run: no other one begins until then.
+    /// Whether a probe is running, which decides whether the request may run. No other run may begin until it ends.
     bool is_probed { false };
 
     bool operator==(CrashStatus const&) const = default;
 };
 
-/// Requests under which endpoints crashed, as far as this box saw it or was told (pure).
+/// Counts endpoint crashes for each request and refuses requests that crash endpoints. No I/O.
 ///
-/// Answers the load of a client whose request ends every endpoint that runs it and who comes back with it: each return
-/// costs an endpoint and all other answers on it. From the third crash on the request is refused.
+/// A client that resends a request that crashes every endpoint running it would cost an endpoint and all other answers
+/// on it each time. So the request is refused from the third crash on.
 ///
-/// All requests at an endpoint go down with it, and nearly all of them are harmless. So crashes count one after
-/// another: only a run that began when the crash before was known raises the count. A popular request that was under a
-/// hundred endpoints of a lost rack counts one. A run that ends well clears its request. An endpoint that answers on a
-/// connection older than its crash takes the crash back, so that a box that is cut off can't get requests refused; any
-/// other answer may come from a process that was started since, which many endpoints don't tell.
+/// When an endpoint crashes, all requests running there are affected, and nearly all of them are harmless. So a crash
+/// counts only if its run began when the previous crash was known: a popular request that was running on a hundred
+/// endpoints of a failed rack counts one crash. A successful run clears the request. An endpoint that answers on a
+/// connection older than its crash has not crashed, and the crash is retracted, so that a box that is cut off can't get
+/// requests refused. Any other answer may come from a new process, since many endpoints don't report when they started.
 ///
-/// Copies of a request come at many boxes at the same time, and each takes an endpoint with it before a crash is known.
-/// So once it has crashed one, a single run at a time is the probe that decides: others are told when to come back.
+/// Copies of a request can arrive at many boxes at once, and each could crash an endpoint before the first crash is
+/// known. So after the first crash a single run at a time is the probe, and clients with other copies are told when to
+/// retry.
 class CrashLedger {
 public:
-    /// What take() made of a report.
+    /// The effect of a report on the ledger.
     enum class Outcome {
         New,
         Known,
-        /// A run of the request has ended well since; whoever told this has not heard of it.
+        /// A run of the request has succeeded since; the reporting box does not know that yet.
         Cleared,
     };
 
     [[nodiscard]] CrashStatus status(RequestFingerprint request, Instant now) const;
-    /// A run of a request under which endpoints crashed began or is still under way, here or at another box.
+    /// A probe of the request has begun or is still running, here or at another box.
     void renew_probe(RequestFingerprint request, Instant now);
-    /// That run showed nothing, or what it showed has been taken.
+    /// The probe ended without a result, or its result has been applied.
     void end_probe(RequestFingerprint request) { this->probes.erase(request); }
-    /// A run of the request ended with its endpoint, `age` ago.
+    /// The endpoint crashed `age` ago while it ran the request.
     Outcome apply(CrashReport const& report, Duration age, Instant now);
-    /// A run of the request ended well, here or at another box. True if anything was held against it.
+    /// A run of the request succeeded, here or at another box. Returns whether the request had any crashes.
     bool clear(RequestFingerprint request, Instant now);
-    /// The endpoint answered. True if that shows that it did not crash, though it was said to.
+    /// The endpoint answered. Returns whether that disproves its reported crash, which is then retracted.
     bool endpoint_answered(EndpointInstance const& endpoint, AnswerTiming const& evidence);
-    /// Takes back what was held against requests for this endpoint's crash. True if there was anything.
+    /// Removes this endpoint's crash from the counts of all requests. Returns whether the crash was known.
     bool retract(EndpointInstance const& endpoint);
     /// The last crash of each request that is refused now.
     [[nodiscard]] std::vector<CrashReport> refused(Instant now) const;
     [[nodiscard]] std::size_t size() const { return this->entries.size(); }
     [[nodiscard]] std::size_t probe_count() const { return this->probes.size(); }
     [[nodiscard]] std::size_t crashed_endpoints() const { return this->crashed.size(); }
-    /// Forgets what is old.
+    /// Removes crashes and probes that are too old.
     void expire(Instant now);
 
-    /// From so many crashes on a request is refused. Two can be bad luck: the client of an answer that was lost with
-    /// its endpoint tries once more, and may meet the harmful request again.
+    /// Number of crashes from which a request is refused. Two can be a coincidence: a client whose answer was lost in a
+    /// crash tries again, and may share an endpoint with the harmful request once more.
     static constexpr unsigned refusal_threshold = 3;
-    /// How long a request is refused after its last crash. Then one run decides anew, since the endpoints may have been
-    /// repaired: a client that never stops costs an endpoint each ten minutes in place of one a second.
+    /// How long a request is refused after its last crash. Then a single run decides, since the endpoints may have been
+    /// fixed: a client that never stops costs one endpoint in ten minutes instead of one each second.
     static constexpr Duration quarantine { std::chrono::minutes(10) };
-    /// A probe of which nothing was heard for so long is over: the box that ran it may be gone.
+    /// A probe that is not renewed for this long is considered over: the box that ran it may be gone.
     static constexpr Duration probe_lease { std::chrono::milliseconds(3500) };
-    /// Crashes are forgotten after this.
+    /// How long crashes are kept.
     static constexpr Duration retention { std::chrono::hours(1) };
-    /// Requests that are remembered. A crash leaves as many as ran at the endpoint, 64 at the largest engines, so these
-    /// are 32 crashes within the hour. When there are more, those with the fewest crashes go first: a caller who makes
-    /// up requests can't push out one that has crashed twice.
+    /// Requests that are kept. A crash affects up to 64 requests, the slots of the largest engines, so this is enough
+    /// for 32 crashes within `retention`. When there are more, requests with the fewest crashes are evicted first, so
+    /// that a client that makes up requests can't evict one that has crashed twice.
     static constexpr std::size_t max_requests = 2048;
 
 private:
     struct Entry {
         unsigned crashes { 0 };
-        /// Of the crashes, the last one behind.
+        /// The endpoints that crashed, in the order of the crashes.
         std::vector<EndpointInstance> endpoints;
         Instant last_crash;
         std::optional<Instant> cleared_at;
@@ -113,11 +113,11 @@
     };
     using Entries = std::unordered_map<RequestFingerprint, Entry>;
 
-    /// For so long reports that were sent before a run ended well may still arrive.
+    /// How long reports that were sent before a successful run may still arrive.
     static constexpr Duration late_report_window { std::chrono::seconds(60) };
 
     [[nodiscard]] static unsigned crashes_of(Entry const& entry, Instant now);
-    /// Another crash is known than when the request's probe began: that probe is over.
+    /// Ends the request's probe if a crash became known since the probe began.
     void end_earlier_probe(RequestFingerprint request, unsigned crashes);
     void note_crashed_endpoint(EndpointInstance const& endpoint, Instant crashed_at, Instant now);
     void make_room();
@@ -127,11 +127,11 @@
     /// The last crash of an endpoint.
     struct KnownCrash {
         Instant at;
-        /// Since when this box knows.
+        /// When this box learned of the crash.
         Instant known_since;
     };
 
-    /// Endpoints that are said to have crashed. As many as there are requests, at most.
+    /// Endpoints that were reported as crashed, `max_requests` at most.
     std::map<EndpointInstance, KnownCrash> crashed;
 };
 
--- a/Libraries/LibRouting/DecayingSum.h
+++ b/Libraries/LibRouting/DecayingSum.h
@@ -6,7 +6,7 @@
 
 namespace Routing {
 
-/// A sum in which old contributions count for less and less: halved with every half-life.
+/// A sum whose contributions decay exponentially with the given half-life.
 class DecayingSum {
 public:
     explicit DecayingSum(Core::Duration half_life)
--- a/Libraries/LibRouting/EndpointBackoffs.h
+++ b/Libraries/LibRouting/EndpointBackoffs.h
@@ -12,22 +12,22 @@
 using Core::EndpointId;
 using Core::Instant;
 
-/// Endpoints that turned a request of this box away and said when it may come back.
+/// Endpoints that refused a request of this box and named a time to retry.
 ///
-/// Until then they get nothing, also where no other endpoint is left. Afterwards one request at a time probes whether
-/// the endpoint takes work again, so that it isn't met by all that was sent elsewhere meanwhile.
+/// Until then they get no requests, even if no other endpoint is left. Afterwards one request at a time probes whether
+/// the endpoint accepts requests again, so that it does not get all the traffic at once.
 class EndpointBackoffs {
 public:
-    /// The endpoint wants nothing for so long. True if it was not left alone before.
+    /// The endpoint asked for no requests for this long. Returns whether the backoff is a new one.
     bool start(EndpointId id, Duration backoff, Instant now);
-    /// The endpoint took a request that was sent at that moment.
+    /// The endpoint accepted a request that was sent at this time.
     void request_accepted(EndpointId id, Instant sent_at);
     void forget(EndpointId id) { this->entries.erase(id); }
 
     [[nodiscard]] bool is_backed_off(EndpointId id, Instant now) const;
-    /// Whether the endpoint may be chosen: it may get requests, and no probe is under way.
+    /// Whether the endpoint may be chosen: it is not backed off, and no probe is running.
     [[nodiscard]] bool may_be_chosen(EndpointId id, Instant now) const;
-    /// A request goes there.
+    /// A request is about to be sent to the endpoint.
     void endpoint_chosen(EndpointId id, Instant now);
     /// When the endpoint may be chosen again.
     [[nodiscard]] Instant available_at(EndpointId id) const;
@@ -38,14 +38,15 @@
         Instant next_probe;
     };
 
-    /// A probe shows within this time whether the endpoint takes requests: it turns them away at once.
+    /// Time between probes. An endpoint that refuses a probe does so at once.
     static constexpr Duration probe_interval { std::chrono::milliseconds(250) };
 
     std::unordered_map<EndpointId, Entry> entries;
 };
 
-/// When a client may come back for whom this box may send to no endpoint of a service until `backoff` is over. `drawn`,
-/// from 0 to 1, spreads the clients, and less urgent ones (a higher priority) come later.
+/// Time after which a client should retry if all endpoints of a service are backed off, the first of them for
+/// `backoff`. `jitter`, from 0 to 1, spreads the retries. Less urgent clients, with a higher priority value, retry
+/// later.
 [[nodiscard]] Duration retry_after_backoff(Duration backoff, unsigned priority, double jitter);
 
 }
--- a/Libraries/LibRouting/EndpointDirectory.h
+++ b/Libraries/LibRouting/EndpointDirectory.h
@@ -18,28 +18,28 @@
     auto operator<=>(SocketAddress const&) const = default;
 };
 
-/// One life of an endpoint's process, from its start to its end.
+/// One instance of an endpoint: its process from start to end.
 struct EndpointInstance {
     std::string incarnation;
-    /// Unix milliseconds of its start by its own clock; 0 if it doesn't say.
+    /// Start time by the endpoint's own clock, in Unix milliseconds; 0 if not reported.
     std::uint64_t started_at { 0 };
 
     auto operator<=>(EndpointInstance const&) const = default;
 };
 
-/// What an endpoint says of itself.
+/// An endpoint's own entry in the store.
 struct EndpointRecord {
-    /// The endpoint's id. One that starts again may come back under it.
+    /// The endpoint's id. A restarted endpoint may keep it.
     std::string incarnation;
     std::string service;
     SocketAddress address;
     std::string failure_domain;
     unsigned slots { 1 };
     bool draining { false };
-    /// Unix milliseconds of its process's start by its own clock, which may be wrong: only tells lives apart, not which
-    /// was first. 0 if it doesn't say.
+    /// Start time of the process in Unix milliseconds, 0 if not reported. The endpoint's clock may be wrong, so the
+    /// start time only distinguishes instances and does not order them.
     std::uint64_t started_at { 0 };
-    /// Whether the platform may take it away at short notice.
+    /// Whether the platform may remove the endpoint at short notice.
     bool is_revocable { false };
 
     bool operator==(EndpointRecord const&) const = default;
@@ -50,89 +50,90 @@
     return { record.incarnation, record.started_at };
 }
 
-/// One life of an endpoint as this box knows it. The id is never used again for another one.
+/// An endpoint instance that is known to this box. Its id is never reused for another instance.
 struct KnownEndpoint {
     EndpointId id;
     EndpointRecord record;
-    /// When its entry vanished just after a gap in what the store told; nothing while it is listed.
+    /// When the entry vanished shortly after the store had been unreachable; unset while the endpoint is listed.
     std::optional<Instant> missing_since;
-    /// An answer told that another endpoint has this address now.
+    /// An answer showed that another endpoint has this address now.
     bool is_replaced { false };
-    /// When an earlier entry under the same id went; nothing where none is remembered.
+    /// When an earlier entry under the same incarnation was removed; unset if none is remembered.
     std::optional<Instant> predecessor_removed_at {};
 
     bool operator==(KnownEndpoint const&) const = default;
 };
 
-/// The endpoints that keep themselves in the platform's store.
+/// The endpoints that are registered in the platform's store.
 ///
-/// An endpoint that starts again holds nothing of before. So another life gets an id of its own here, and all that
-/// hangs on the id ends with the old one: load, prompt memory, connections, what was said of its address. The order in
-/// which the store tells of lives decides which is the newer one, since clocks of endpoints may go back; a life that
-/// another one followed never comes back, however late somebody tells of it.
+/// A restarted endpoint has lost all its state. So each instance gets its own id here, and everything stored by id ends
+/// with the old instance: load, prompt cache estimate, connections, and reports about its address. The newer instance
+/// is the one that the store listed later, since endpoint clocks may go back. An instance that was superseded is never
+/// restored by a late report.
 ///
-/// An entry may lapse while the store is away though its endpoint lives, and is back soon after the store is. So an
-/// entry that vanishes just after such a gap is kept for a short time; at any other time it goes at once.
+/// An entry may lapse while the store is unavailable though the endpoint is running, and is registered again soon after
+/// the store returns. So an entry that vanishes shortly after such an outage is kept for a short time; at other times
+/// it is removed at once.
 class EndpointDirectory {
 public:
-    /// True if the endpoint is new or its record changed. A record that doesn't tell its life is taken for one of the
-    /// life that is known.
+    /// Returns whether the endpoint is new or its record changed. A record without a start time belongs to the known
+    /// instance.
     bool put(EndpointRecord record);
-    /// Whether another life of the endpoint is known to have followed this one.
+    /// Whether a later instance of the endpoint is known.
     [[nodiscard]] bool is_earlier_instance(EndpointRecord const& record) const
     {
         return this->superseded.contains(instance_of(record));
     }
     void remove(std::string const& incarnation, Instant now);
-    /// Takes a whole list in place of what was known.
+    /// Replaces all known endpoints by a complete list.
     void replace_all(std::vector<EndpointRecord> const& records, Instant now);
-    /// The store answered again after it could not be reached.
+    /// The store answered again after an outage.
     void store_returned(Instant now) { this->returned_at = now; }
     void mark_replaced(EndpointId id);
-    /// Forgets entries whose time has run out.
+    /// Removes missing entries that were kept for a grace period that is over.
     void expire(Instant now);
 
     [[nodiscard]] KnownEndpoint const* find(EndpointId id) const;
     [[nodiscard]] KnownEndpoint const* find(std::string const& incarnation) const;
-    /// Whether the endpoint may get new work.
+    /// Whether the endpoint may get new requests.
     [[nodiscard]] bool is_usable(KnownEndpoint const& endpoint, Instant now) const;
-    /// Ids of the endpoints of a service that may get new work, in the order of their incarnations.
+    /// Endpoints of a service that may get new requests, ordered by incarnation.
     [[nodiscard]] std::vector<EndpointId> usable(std::string_view service, Instant now) const;
     [[nodiscard]] std::size_t size() const { return this->endpoints.size(); }
-    /// What is kept of lives beyond the endpoints themselves.
+    /// Number of remembered instances, for tests of the memory limit.
     [[nodiscard]] std::size_t remembered_instances() const
     {
         return this->superseded.size() + this->newest_starts.size();
     }
-    /// Ids that have another address since the last call: a process keeps its own, so these are of other processes.
+    /// Endpoints whose address changed since the last call. A process keeps its address, so the new address belongs to
+    /// another process.
     [[nodiscard]] std::vector<EndpointId> take_moved();
-    /// Ids that are gone since the last call, so that connections to them can be closed once they are idle.
+    /// Endpoints that were removed since the last call, so that their idle connections can be closed.
     [[nodiscard]] std::vector<EndpointId> take_removed();
 
 private:
-    /// How long after the store's return an entry that is missing may still come back. The platform's pages say two
-    /// seconds.
+    /// How long after the store's return a missing entry may be registered again, by the platform's documentation.
     static constexpr Duration return_grace { std::chrono::seconds(2) };
 
-    /// Lives that are remembered beyond their end, and endpoints beyond those listed. Some 100 bytes each; each is a
-    /// start of an endpoint, and late word of a life comes within seconds.
+    /// Number of ended instances and of unlisted endpoints that are remembered, at some 100 bytes each. Reports of
+    /// ended instances are only seconds late, so this covers more restarts than can occur meanwhile.
     static constexpr std::size_t max_remembered = 1024;
 
     using Endpoints = std::map<std::string, KnownEndpoint>;
     void erase(Endpoints::iterator position);
-    /// The same of an entry that went, at that moment.
+    /// Like erase(), and remembers the time of the removal.
     void erase_removed(Endpoints::iterator position, Instant now);
-    /// Takes note that this life is the endpoint's newest.
+    /// Records the instance as the endpoint's newest one.
     void remember_instance(EndpointRecord const& record);
 
     Endpoints endpoints;
     std::unordered_map<EndpointId, std::string> incarnations;
     std::vector<EndpointId> removed;
     std::vector<EndpointId> moved;
-    /// The start of the newest life of each endpoint that tells one, also of some that are gone.
+    /// Start time of the newest instance by incarnation, including some endpoints that are gone.
     std::map<std::string, std::uint64_t> newest_starts;
     std::set<EndpointInstance> superseded;
-    /// When entries went that are not listed any more.
+    /// When unlisted entries were removed.
     std::map<std::string, Instant> removal_times;
     std::optional<Instant> returned_at;
     std::uint32_t next_id { 1 };
--- a/Libraries/LibRouting/EndpointLoad.h
+++ b/Libraries/LibRouting/EndpointLoad.h
@@ -12,7 +12,7 @@
 
 using Core::RequestId;
 
-/// Load that an endpoint tells in its answers.
+/// Load that an endpoint reports in its answers.
 struct ReportedLoad {
     int running { 0 };
     int waiting { 0 };
@@ -21,46 +21,46 @@
     bool operator==(ReportedLoad const&) const = default;
 };
 
-/// How long a request is expected to take at an endpoint.
+/// Expected times of a request at an endpoint.
 struct ExpectedTimes {
-    /// How long the engine reads the prompt.
+    /// Time in which the engine reads the prompt.
     Duration prefill { 0 };
-    /// When the first piece of the answer comes, from the start.
+    /// Time from the start to the first piece of the answer.
     Duration first_piece { 0 };
 
     bool operator==(ExpectedTimes const&) const = default;
 };
 
-/// What this box believes of an endpoint's load and health: what it sent there itself, corrected by what the endpoint
-/// tells and by how late its first tokens come, which shows what other boxes sent.
+/// Estimated load and health of an endpoint. The estimate starts from the requests of this box and is corrected by the
+/// endpoint's reports and by late first tokens, which show the load from other boxes.
 class EndpointLoad {
 public:
     void started(RequestId request, Workload const& workload, ExpectedTimes const& expected, Instant now);
-    /// The first piece of the answer came; `lateness` is how much later than predicted.
+    /// The first piece of the answer arrived `lateness` later than predicted.
     void answered(RequestId request, Duration lateness, Instant now);
     void ended(RequestId request);
     void succeeded();
     void failed(Instant now);
-    /// The endpoint said that it had no room.
+    /// The endpoint refused a request because it was full.
     void shed(Instant now);
     void update_reported_load(ReportedLoad const& reported, Instant now);
-    /// Another box has so much work here, as of `at`, in place of what it told before.
+    /// Replaces what another box reported of its load on this endpoint, as of `at`.
     void apply_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at);
-    /// Another box has nothing here any more.
+    /// Removes the load of another box.
     void forget_peer(std::uint64_t box) { this->peers.erase(box); }
 
     [[nodiscard]] bool takes_work(Instant now) const;
     /// How long a new prompt waits until the engine begins to read it.
     [[nodiscard]] Duration prefill_backlog(Instant now) const;
-    /// The part of it that this box sent.
+    /// The part of prefill_backlog() that comes from requests of this box.
     [[nodiscard]] Duration own_backlog() const;
-    /// How long the endpoint has been silent beyond what was expected; zero for one that answers in time.
+    /// How much longer than expected the endpoint has been silent; zero if it answers in time.
     [[nodiscard]] Duration overdue(Instant now) const;
-    /// Requests believed to be there, of all boxes.
+    /// Estimated number of requests of all boxes at the endpoint.
     [[nodiscard]] double running(Instant now) const;
-    /// Requests of this box whose answer has begun, or is about to.
+    /// Requests of this box at the endpoint.
     [[nodiscard]] std::size_t own_running() const { return this->own_requests.size(); }
-    /// Part of the recent requests that failed.
+    /// Fraction of recent requests that failed.
     [[nodiscard]] double failure_share(Instant now) const;
     [[nodiscard]] PromptCacheEstimate const& prompt_cache() const { return this->cached_prompts; }
 
@@ -75,20 +75,20 @@
         unsigned running { 0 };
         Instant at;
     };
-    /// What another box told counts this long: a little longer than the longest time between its reports.
+    /// How long a report of another box is valid: slightly longer than the longest report interval.
     static constexpr Duration peer_retention { std::chrono::milliseconds(2500) };
 
-    /// How long what one answer told of an endpoint stays of use: engines run a request for one or two seconds.
+    /// Half-life of a reported load: engines run a request for one or two seconds.
     static constexpr Duration report_half_life { std::chrono::seconds(1) };
-    /// How long the lateness of one first token says something of the next: about as long as a backlog lasts.
+    /// Half-life of the lateness of first tokens: about as long as a backlog lasts.
     static constexpr Duration lateness_half_life { std::chrono::milliseconds(400) };
     static constexpr Duration failure_half_life { std::chrono::seconds(4) };
-    /// An answer is overdue after twice its expected time and this, which covers a long tail of short calls.
+    /// An answer is overdue after twice its expected time plus this margin, which covers the long tail of short calls.
     static constexpr Duration overdue_margin { std::chrono::milliseconds(60) };
-    /// An endpoint that was full is left alone this long: a few requests' service times. Twice as long with each
-    /// further request that it turns away, and half of these are forgotten with each that it serves.
+    /// Time for which an endpoint that was full gets no requests: a few service times. Each further refusal doubles the
+    /// pause, and each completed request halves the number of refusals that count.
     static constexpr Duration shed_pause { std::chrono::milliseconds(60) };
-    /// Up to 1.9 s, so that one that is well again is not missed for long.
+    /// Limits the pause to 1.9 s, so that a recovered endpoint is soon used again.
     static constexpr unsigned max_doublings = 6;
 
     std::map<RequestId, OwnRequest> own_requests;
--- a/Libraries/LibRouting/EngineDemand.h
+++ b/Libraries/LibRouting/EngineDemand.h
@@ -8,21 +8,21 @@
 
 namespace Routing {
 
-/// What a request mostly costs an engine.
+/// What takes most of an engine's time for a request.
 enum class WorkKind {
     LongPrompt,
     LongAnswer,
 };
 
-/// Prompt tokens that an engine reads in the time of one step, about. The kinds of work and the division rest on this
-/// and not on learnt speeds, which differ between boxes: with those, boxes would divide the engines differently.
+/// Prompt tokens that an engine reads in about the time of one step. A constant and not a learned speed, since learned
+/// speeds differ between boxes, and boxes would divide the engines differently.
 inline constexpr double prompt_tokens_per_step = 200;
 
-/// By the numbers of tokens alone, so that all boxes agree.
+/// Depends on the numbers of tokens only, so that all boxes agree.
 [[nodiscard]] WorkKind work_kind(Workload const& workload);
 
-/// What the recent requests of a service ask of its engines, by kind and as prompt tokens that could be read in the
-/// same time; older ones count for less.
+/// Work of a service's recent requests by kind, in prompt tokens that could be read in the same time. Older requests
+/// count for less.
 struct WorkTotals {
     double answer_work { 0 };
     double prompt_work { 0 };
@@ -30,29 +30,29 @@
     bool operator==(WorkTotals const&) const = default;
 };
 
-/// How a service's recent requests divide into long prompts and long answers, as this box sees them and others tell.
-/// Where hundreds of boxes see few requests each, reports of all are too rare; there a relay adds up what its askers
-/// see and tells the division to all.
+/// Divides a service's engines between long prompts and long answers by the recent requests of this box and of others.
+/// Where hundreds of boxes see few requests each, load reports are too rare; a relay then adds up the totals of its
+/// boxes and sends the division to all of them.
 class EngineDemand {
 public:
     void add(Workload const& workload, Core::Instant now);
-    /// How many of a service's engines long answers get. Changes only when the need has clearly changed: each change
-    /// makes engines read shared prompt parts again, and boxes that see different samples would disagree.
+    /// Number of a service's engines that are used for long answers. Changes only if the demand has clearly changed:
+    /// each change makes engines reread shared prompt parts, and boxes that see different samples would disagree.
     [[nodiscard]] std::size_t engines_for_answers(std::size_t engines, Core::Instant now);
 
-    /// What this box itself has lately seen.
+    /// Recent work of this box's requests.
     [[nodiscard]] WorkTotals own_totals(Core::Instant now) const;
-    /// What this box and those that told have lately seen, all together.
+    /// Recent work of this box and of all others that reported theirs.
     [[nodiscard]] WorkTotals all_totals(Core::Instant now) const;
-    /// The same as work that comes in a second, in prompt tokens.
+    /// Incoming work of all boxes in prompt tokens per second.
     [[nodiscard]] double tokens_per_second(Core::Instant now) const;
-    /// What another box has lately seen, as of `at`, in place of what it told before.
+    /// Replaces the recent work reported by another box, as of `at`.
     void apply_peer(std::uint64_t box, WorkTotals totals, Core::Instant at);
-    /// What other boxes have lately seen, all together.
+    /// Replaces the total of the recent work of other boxes.
     void apply_totals_of_others(WorkTotals totals, Core::Instant now);
-    /// The part of the engines that long answers get, as a relay decided for all boxes of the failure domain.
+    /// Applies the fraction of engines for long answers that a relay decided for all boxes of the failure domain.
     void apply_relay_share(double share, Core::Instant now);
-    /// The part of the engines that this box gives to long answers; nothing before it first divided any.
+    /// Fraction of engines that this box uses for long answers; unset before the first division.
     [[nodiscard]] std::optional<double> answer_share() const;
 
 private:
@@ -65,22 +65,22 @@
 
     [[nodiscard]] double share_of_answers(Core::Instant now) const;
 
-    /// What others told holds this long: a box that goes from one relay to the next keeps its division meanwhile.
+    /// How long reports are valid. Long enough for a box to keep its division while it changes to another relay.
     static constexpr Core::Duration report_retention { std::chrono::seconds(6) };
 
-    /// A box of the first sites sees some ten requests a second; fewer than a hundred make the share a matter of luck.
+    /// With some ten requests per second at a box, this is about a hundred requests; fewer would make the share random.
     static constexpr Core::Duration half_life { std::chrono::seconds(6) };
-    /// By how much the need must differ from what long answers have, in engines and as a part of what they have.
+    /// How much the demand must differ from the engines allotted to long answers, in engines and as a fraction.
     static constexpr double min_change_engines = 0.8;
     static constexpr double min_change_share = 0.15;
-    /// Requests that an engine runs side by side before its steps grow noticeably.
+    /// Requests that an engine runs concurrently before its steps become noticeably slower.
     static constexpr double concurrent_answers = 32;
-    /// Part of a prompt that an engine has to read on average; the rest is kept from earlier ones.
+    /// Average fraction of a prompt that an engine has to read; the rest is cached from earlier prompts.
     static constexpr double uncached_share = 0.5;
-    /// Engines for long answers when there are hardly any: one in five, so that a burst finds room.
+    /// Minimum share for long answers: one engine in five, so that a burst finds room.
     static constexpr double min_share = 0.2;
     static constexpr double max_share = 0.7;
-    /// With fewer engines every one takes both kinds.
+    /// With fewer engines, each takes both kinds.
     static constexpr std::size_t min_engines_to_divide = 3;
 
     DecayingSum answers { half_life };
--- a/Libraries/LibRouting/EngineSpeed.h
+++ b/Libraries/LibRouting/EngineSpeed.h
@@ -7,14 +7,14 @@
 
 namespace Routing {
 
-/// How fast the engines of a service work, as placement reckons with it.
+/// Speed of a service's engines, as used by placement.
 ///
-/// The values given here only serve until the first requests have been seen; they are round figures between those of
-/// engines in use, and the estimate is within 15 in 100 of engines 20 times faster or slower after 120 samples.
+/// The defaults apply until the first requests have been seen. They lie between the speeds of common engines; the
+/// estimate is within 15 percent for engines 20 times faster or slower after 120 samples.
 struct EngineSpeed {
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine reads per millisecond.
     double prefill_tokens_per_millisecond { 50 };
-    /// A step of an engine; each step makes one token of every running request.
+    /// Duration of an engine step, which makes one token of every running request.
     double step_milliseconds { 5 };
 
     [[nodiscard]] double reading_milliseconds(double tokens) const
@@ -25,8 +25,8 @@
     bool operator==(EngineSpeed const&) const = default;
 };
 
-/// A quantile of a stream of positive samples, followed on a logarithmic scale: first in large steps away from the
-/// prior, then in small ones. A single sample moves it by a bounded factor, however far off it is.
+/// Estimates a quantile of a stream of positive samples on a logarithmic scale, with steps that shrink as samples come
+/// in. A single outlier changes the estimate by a bounded factor.
 class StreamingQuantile {
 public:
     /// `quantile` lies between 0 and 1; `prior` is the value before the first sample.
@@ -38,12 +38,12 @@
     [[nodiscard]] std::uint64_t samples() const { return this->count; }
 
 private:
-    /// Size of the first step, as a logarithm: with the decay below, 120 samples cover a factor of 20 either way.
+    /// The first step, as a logarithm: with `halving_samples`, 120 samples cover a factor of 20 in either direction.
     static constexpr double first_step = 1.0;
-    /// After this many samples a step is half as large.
+    /// Samples after which a step is half as large.
     static constexpr double halving_samples = 20;
-    /// The smallest step: engines that turn four times slower are followed within 300 samples, and one sample moves the
-    /// value by 5 in 100 at the most.
+    /// The smallest step: an engine slowdown by a factor of four is followed within 300 samples, and one sample changes
+    /// the estimate by 5 percent at most.
     static constexpr double smallest_step = 0.05;
 
     double quantile;
@@ -51,19 +51,19 @@
     std::uint64_t count { 0 };
 };
 
-/// Learns the speed of a service's engines from what a box sees of its own requests.
+/// Estimates the speed of a service's engines from this box's own requests.
 ///
-/// Queues, prompts read beside an answer and slow clients only make a sample slower, so both speeds follow a quantile
-/// on the fast side of what is seen.
+/// Queues, prompts that are read between steps and slow clients can only make a sample slower. So both speeds follow a
+/// quantile among the fastest samples.
 class EngineSpeedEstimate {
 public:
-    /// A first piece came `taken_milliseconds` after the request was sent to an engine where this box had nothing else
-    /// to be read, and which certainly had to read `tokens`.
+    /// The first piece of an answer arrived `taken_milliseconds` after the request was sent. The engine certainly had
+    /// to read `tokens`, and no other prompt of this box was waiting there.
     void add_first_piece(double tokens, double taken_milliseconds);
-    /// Some events of one answer followed one another: so many tokens in so many milliseconds.
+    /// Consecutive events of an answer brought `tokens` in `taken_milliseconds`.
     void add_tokens(double tokens, double taken_milliseconds);
 
-    /// What another box learnt, in place of what it told before.
+    /// The speed that another box estimated. apply_peer() replaces the box's earlier one.
     struct PeerSpeed {
         EngineSpeed speed;
         std::uint64_t samples { 0 };
@@ -71,26 +71,26 @@
     };
     void apply_peer(std::uint64_t box, PeerSpeed reported);
 
-    /// What this box alone has learnt.
+    /// The estimate from this box's own requests.
     [[nodiscard]] EngineSpeed own_speed() const;
-    /// Samples that it rests on: those of the speed that has fewer.
+    /// Samples behind own_speed(): those of the speed that has fewer.
     [[nodiscard]] std::uint64_t samples() const;
-    /// What this box and the others have learnt, each by its number of samples.
+    /// The estimates of this box and of the others, weighted by samples.
     [[nodiscard]] EngineSpeed speed() const { return this->combined; }
 
 private:
     void combine();
 
-    /// More samples than this make a box's estimate no better, since old ones have faded.
+    /// Samples from which a box's weight no longer grows, since older samples have faded by then.
     static constexpr std::uint64_t max_samples = 100;
-    /// What another box told of speeds is dropped when it has told nothing for so long.
+    /// Speeds of a box that has reported nothing for this long are dropped.
     static constexpr Core::Duration peer_retention { std::chrono::seconds(20) };
 
-    /// Shorter prompts take about as long as the way to the engine and back.
+    /// Shorter prompts are read in about the network round-trip time, so they are no use as samples.
     static constexpr double min_prompt_tokens = 256;
-    /// Fewer tokens than this come in one or two events, whose distance the network decides.
+    /// Fewer tokens come in one or two events, whose spacing depends on the network.
     static constexpr double min_answer_tokens = 12;
-    /// Under load nine of ten samples have met other work and are slower than the engine.
+    /// The quantile to follow. Under load, nine of ten samples were slowed down by other work.
     static constexpr double fast_quantile = 0.1;
 
     StreamingQuantile reading { fast_quantile, 1 / EngineSpeed {}.prefill_tokens_per_millisecond };
--- a/Libraries/LibRouting/LoadReport.h
+++ b/Libraries/LibRouting/LoadReport.h
@@ -9,30 +9,30 @@
 
 namespace Routing {
 
-/// What one box has at an endpoint.
+/// Load of one box at one endpoint.
 struct EndpointShare {
     std::string incarnation;
-    /// Prompt tokens that it sent there and that are not read yet, as time.
+    /// Time to read the prompts that the box sent and that are not read yet.
     Duration backlog { 0 };
-    /// Its requests there.
+    /// Requests of the box at the endpoint.
     unsigned running { 0 };
 
     bool operator==(EndpointShare const&) const = default;
 };
 
-/// What a box learnt of a service's engines, and what its recent requests ask of them.
+/// A box's speed estimate of a service's engines, and the work of the box's recent requests.
 struct ServiceReport {
     EngineSpeed speed;
-    /// Requests that the speed rests on.
+    /// Samples that the speed is based on.
     std::uint64_t samples { 0 };
     WorkTotals work;
 
     bool operator==(ServiceReport const&) const = default;
 };
 
-/// What a box tells the others of its own load, so that all choose with what all have sent.
+/// Load that a box reports to the others, so that all place requests by the total load.
 struct LoadReport {
-    /// Endpoints where the box has nothing are left out.
+    /// Endpoints without requests of this box are left out.
     std::vector<EndpointShare> endpoints;
     std::map<std::string, ServiceReport> services;
 
--- a/Libraries/LibRouting/Placement.h
+++ b/Libraries/LibRouting/Placement.h
@@ -9,48 +9,48 @@
 
 namespace Routing {
 
-/// Penalties that placement reckons with.
+/// Costs used in placement decisions.
 struct PlacementModel {
-    /// What a call of a plain service takes, where nothing is known yet.
+    /// Default duration of a call to a service without engines.
     double plain_call_milliseconds { 20 };
-    /// Cost of leaving the failure domain: the way there and back, and the price of the bytes.
+    /// Cost of leaving the failure domain: the round trip and the price of the traffic.
     double other_domain_milliseconds { 4 };
-    /// Cost of an endpoint that fails all its requests: what a retry takes.
+    /// Cost of an endpoint that fails all its requests: the time of a retry.
     double failure_milliseconds { 400 };
-    /// Part of a shared prompt part that the part's usual endpoint is believed to keep though this box did not send it.
+    /// Assumed cached fraction of a shared prompt part at its home endpoint if this box did not send the part there.
     double cached_at_home { 0.8 };
-    /// How many times its reading time a shared part costs where it is read again: it holds up others, and the users
-    /// price it at about the worth of a request for 7,000 tokens.
+    /// Cost of rereading a shared prompt part, as a multiple of its reading time. Reading it again delays other
+    /// requests, and 7,000 tokens are priced at about the value of a request.
     double reread_factor { 8 };
-    /// The same at an endpoint that takes work at times only, which gets little and keeps little.
+    /// Like `reread_factor`, for endpoints with a rate limit, which get few requests and so cache little.
     double limited_reread_factor { 1 };
-    /// What it gains to use an endpoint that takes work at times only: a turn that lapses is lost to all, and only
-    /// answers tell when its limit ends.
+    /// Benefit of using an endpoint with a rate limit. An unused slot is lost, and only answers show when the limit
+    /// ends.
     double limited_bonus_milliseconds { 10 };
-    /// Cost of placing a request on an engine that is meant for the other kind.
+    /// Cost of placing a long prompt on an engine for long answers, or the reverse.
     double wrong_group_milliseconds { 400 };
-    /// How many times the silence of an endpoint beyond the expected counts: it has most likely failed.
+    /// Cost factor of an endpoint's silence beyond the expected time: it has most likely failed.
     double overdue_factor { 4 };
-    /// Cost of an engine all of whose slots are taken; half of them are free of cost. A dear engine sends requests away
-    /// from what it keeps of their prompts.
+    /// Cost of an engine whose slots are all taken; it rises from 0 at half of them. A higher cost would move requests
+    /// away from engines that have their prompts cached.
     double full_engine_milliseconds { 150 };
 
     bool operator==(PlacementModel const&) const = default;
 };
 
-/// Why an endpoint was chosen, for the log.
+/// Reasons for the choice of an endpoint, for the log.
 struct PlacementFigures {
     double predicted_milliseconds { 0 };
     double backlog_milliseconds { 0 };
     std::uint32_t tokens_to_read { 0 };
-    /// The part of these that no other box can have made the engine keep.
+    /// `tokens_to_read` if it is certain, else 0: other boxes may have made the engine cache shared parts.
     std::uint32_t certain_tokens { 0 };
     double running { 0 };
-    /// The part of the prompt that decides on the home, and whether this endpoint is it.
+    /// Id of the prompt part that determines the home endpoint, and whether the chosen endpoint is the home.
     std::uint64_t home_key { 0 };
     bool is_home { false };
     std::size_t candidates { 0 };
-    /// What was believed of the engines' speed.
+    /// The estimated speed of the engines.
     EngineSpeed speed;
 
     bool operator==(PlacementFigures const&) const = default;
@@ -58,46 +58,47 @@
 
 struct PlacementChoice {
     EndpointId endpoint;
-    /// How long the engine is expected to read the prompt.
+    /// Expected time in which the engine reads the prompt.
     Duration prefill { 0 };
-    /// When the first piece of the answer is expected, from now.
+    /// Expected time until the first piece of the answer.
     Duration first_piece { 0 };
     PlacementFigures figures;
 
     bool operator==(PlacementChoice const&) const = default;
 };
 
-/// What a placement looks at.
+/// The request to place and the state to use.
 struct PlacementQuery {
     Workload const& workload;
     bool is_engine { false };
-    /// How many of the engines long answers go to first, so that long prompts do not stretch the pauses between their
-    /// events; 0 if every engine takes both kinds.
+    /// Number of engines that are preferred for long answers, so that long prompts do not delay their events; 0 if
+    /// every engine takes both kinds.
     std::size_t engines_for_answers { 0 };
     std::string const& own_domain;
     Instant now;
-    /// Of the service's engines, as far as it is known.
+    /// Estimated speed of the service's engines.
     EngineSpeed speed;
-    /// The part of the engines, from 0 to 1, that this box compares, and a number that draws them; at 1 all are
-    /// compared.
+    /// The fraction of engines, from 0 to 1, that this box compares, and the seed that selects them.
     ///
-    /// Boxes that hear of each other's load at the same moments all find the same engine the emptiest, and send there
-    /// until the next reports. So the older what boxes know of each other, the fewer engines each compares.
+    /// Boxes that receive each other's load reports at the same time would all find the same engine the emptiest, and
+    /// send requests there until the next reports. So the less frequent the reports are, the fewer engines each box
+    /// compares.
     double compared_share { 1 };
     std::uint64_t sample_seed { 0 };
 };
 
 using LoadTable = std::unordered_map<EndpointId, EndpointLoad>;
 
-/// Endpoints that may take work, in the same order on every box.
+/// Endpoints that may get requests, in the same order on every box.
 struct PlacementCandidates {
-    /// Prompt parts have their homes here, and long answers their share of engines.
+    /// Endpoints without a rate limit. Home endpoints are chosen from these, and they are divided by kind of work.
     std::vector<KnownEndpoint const*> usual;
-    /// These take work now and then only. They are no homes, since prompt parts would move with each turn.
+    /// Endpoints with a rate limit. They are no homes, since homes would move whenever the limit allows a request or
+    /// not.
     std::vector<KnownEndpoint const*> limited {};
 };
 
-/// Chooses the endpoint with the lowest predicted time to a useful answer.
+/// Chooses the endpoint with the lowest predicted cost; unset without candidates.
 [[nodiscard]] std::optional<PlacementChoice> choose_endpoint(PlacementCandidates const& candidates,
     LoadTable const& loads, PlacementQuery const& query, PlacementModel const& model);
 
--- a/Libraries/LibRouting/PromptCacheEstimate.h
+++ b/Libraries/LibRouting/PromptCacheEstimate.h
@@ -7,7 +7,7 @@
 
 namespace Routing {
 
-/// A stretch of a prompt that several requests may begin with.
+/// A section of a prompt that several requests may share as their beginning.
 struct PromptPart {
     std::uint64_t id { 0 };
     std::uint32_t tokens { 0 };
@@ -15,19 +15,19 @@
     bool operator==(PromptPart const&) const = default;
 };
 
-/// The parts of prompts that an engine is believed to keep, by what this box sent there.
+/// Estimates which prompt parts an engine has cached, from the requests that this box sent to the engine.
 class PromptCacheEstimate {
 public:
-    /// Notes that the engine read or used these parts now.
+    /// Records that the engine reads or reuses these parts now.
     void record(std::vector<PromptPart> const& parts, Instant now);
-    /// Whether the part was used there a short while ago.
+    /// Whether the part is probably cached.
     [[nodiscard]] bool contains(std::uint64_t part, Instant now) const;
 
 private:
-    /// How long an unused part is believed to stay: an engine of the first sites takes in about 17,000 tokens a second
-    /// at its usual load and keeps 290,000.
+    /// How long an unused part is assumed to stay cached. An engine at its usual load takes in about 17,000 tokens per
+    /// second and keeps 290,000.
     static constexpr Duration retention { std::chrono::seconds(10) };
-    /// Bounds the memory for one endpoint to some 60 KB.
+    /// Limits the memory for one endpoint to some 60 KB.
     static constexpr std::size_t max_parts = 512;
 
     struct Entry {
--- a/Libraries/LibRouting/RateLimit.h
+++ b/Libraries/LibRouting/RateLimit.h
@@ -4,9 +4,9 @@
 
 namespace Routing {
 
-/// What an endpoint says it takes.
+/// The rate limit that an endpoint reports.
 struct RateLimit {
-    /// Requests a second from all boxes together; nothing where it has no limit.
+    /// Requests per second from all boxes together; unset for no limit.
     std::optional<double> per_second;
 
     bool operator==(RateLimit const&) const = default;
--- a/Libraries/LibRouting/RequestFingerprint.h
+++ b/Libraries/LibRouting/RequestFingerprint.h
@@ -8,11 +8,11 @@
 
 namespace Routing {
 
-/// What makes two requests the same one that came again: the client account, and host, path and body. The same at every
+/// Identifies a request that is sent again, by hashes of the client account and of host, path and body. Equal on every
 /// box and after a restart.
 ///
-/// The account is a half of its own, so that a caller who makes up bodies until the other half fits can reach requests
-/// of its own account only. On public routes all callers are one account.
+/// The account is hashed separately: a client that constructs bodies to make `content` collide can only affect requests
+/// of its own account. On public routes all clients have the same account.
 struct RequestFingerprint {
     std::uint64_t account { 0 };
     std::uint64_t content { 0 };
--- a/Libraries/LibRouting/RequestRouter.h
+++ b/Libraries/LibRouting/RequestRouter.h
@@ -20,15 +20,15 @@
 using Core::Reason;
 using Traffic::AttemptResult;
 
-/// What a client asks for.
+/// The parts of a client's request that routing needs.
 struct RequestHead {
-    /// The client's own id of this attempt.
+    /// The client's id of this attempt.
     std::string attempt;
     std::string host;
     /// Path and query.
     std::string target;
     std::string api_key;
-    /// How long the client waits, from the moment the request was read.
+    /// How long the client waits after the request was read.
     std::optional<Duration> patience;
     Workload workload;
 
@@ -48,37 +48,37 @@
     unsigned urgency { 0 };
     bool is_engine { false };
     Instant arrived;
-    /// When the client's patience or the route's timeout ends, whichever comes first.
+    /// The earlier end of the client's patience and the route's timeout.
     Instant expires;
-    /// Which of the two ends first.
+    /// Whether patience or timeout ends first.
     Reason expiry { Reason::DeadlinePassed };
 
     bool operator==(Admitted const&) const = default;
 };
 
-/// The rank of a request among all others, 0 for the most urgent: the route's priority first, then the account's.
+/// Urgency of a request, 0 for the most urgent: ordered by the route's priority first, then by the account's.
 [[nodiscard]] unsigned urgency_of(Route const& route, ClientAccount const* account);
 
-/// A request that this box will not send to any endpoint, now or later.
+/// A request that this box refuses to send to an endpoint.
 struct Rejected {
     Reason reason { Reason::None };
-    /// When the client may come back; nothing where that would not help.
+    /// Time after which the client should retry; unset if a retry would not help.
     std::optional<Duration> retry_after;
 
     bool operator==(Rejected const&) const = default;
 };
 
-/// Send the request to this endpoint.
+/// The endpoint that a request is to be sent to.
 struct Placed {
     PlacementChoice choice;
     EndpointRecord endpoint;
-    /// Whether it is counted against this box's part of the endpoint's rate limit.
+    /// Whether the request is counted against this box's share of the endpoint's rate limit.
     bool is_counted_by_limit { false };
-    /// What the endpoint was known to take.
+    /// The endpoint's known rate limit.
     RateLimit limit {};
-    /// Other endpoints that were passed over since this box has sent them its part of what they take.
+    /// Number of endpoints that were skipped since this box has used its share of their rate limits.
     std::size_t at_limit { 0 };
-    /// Others that want nothing from this box for now.
+    /// Number of endpoints that were skipped since they are backed off.
     std::size_t backed_off { 0 };
 
     bool operator==(Placed const&) const = default;
@@ -93,10 +93,10 @@
     bool operator==(RouterSettings const&) const = default;
 };
 
-/// Decides for every request of a box: whether the configuration allows it, where it goes, whether it may go to a
-/// second endpoint. Pure: no I/O, and the time is passed in.
+/// Decides for each request of a box whether the configuration allows it, which endpoint gets it, and whether it may be
+/// retried at another endpoint. Does no I/O; the time is passed in.
 ///
-/// Endpoints, loads and budgets stand under one lock, the configuration under another.
+/// One lock protects endpoints, loads and retry budgets, another one the configuration.
 class RequestRouter {
 public:
     RequestRouter(RouterSettings settings, std::uint64_t seed);
@@ -109,7 +109,7 @@
     void note_configuration(std::uint64_t version, Instant notified_at, Instant known_since);
     /// As ConfigurationLease::note_overdue_version.
     void note_overdue_configuration(std::uint64_t version, Instant notified_at);
-    /// As ConfigurationLease::woke.
+    /// As ConfigurationLease::after_suspension.
     void after_suspension(Instant now);
     /// As ConfigurationLease::known_since.
     [[nodiscard]] std::optional<Instant> configuration_known_since() const;
@@ -117,138 +117,139 @@
     [[nodiscard]] ConfigurationFreshness configuration_freshness(Instant now) const;
     [[nodiscard]] Duration configuration_age(Instant now) const;
 
-    /// True if the endpoint is new or its record changed.
+    /// Returns whether the endpoint is new or its record changed.
     bool put_endpoint(EndpointRecord const& record);
     /// As EndpointDirectory::is_earlier_instance.
     [[nodiscard]] bool is_earlier_instance(EndpointRecord const& record) const;
     void remove_endpoint(std::string const& incarnation, Instant now);
     void replace_endpoints(std::vector<EndpointRecord> const& records, Instant now);
     void store_returned(Instant now);
-    /// The list of endpoints is known as of that moment.
+    /// As EndpointNotices::confirm_list.
     void confirm_endpoints(Instant confirmed_at);
-    /// The list of endpoints may hold what was so earlier.
+    /// As EndpointNotices::mark_list_uncertain.
     void mark_endpoints_uncertain();
-    /// Ids of endpoints that are gone since the last call.
+    /// Removes expired endpoints. Returns the endpoints that were removed since the last call.
     [[nodiscard]] std::vector<EndpointId> expire_endpoints(Instant now);
     [[nodiscard]] std::size_t endpoint_count() const;
-    /// Endpoints of a service that may get new work.
+    /// Number of endpoints of a service that may get new requests.
     [[nodiscard]] std::size_t usable_endpoints(std::string_view service, Instant now) const;
 
     [[nodiscard]] std::variant<Admitted, Rejected> admit(RequestHead const& head, Instant now);
-    /// Chooses an endpoint that is not in `tried`. Checks anew that the request may still run.
+    /// Chooses an endpoint that is not in `tried`. Checks again whether the request may still run.
     [[nodiscard]] std::variant<Placed, Rejected> place(
         Admitted const& request, Workload const& workload, std::vector<EndpointId> const& tried, Instant now);
-    /// Whether an endpoint that was chosen a moment ago may still get a request: it may have begun to leave while this
-    /// box connected to it.
+    /// Whether an endpoint that was just chosen may still get a request: it may have begun to drain while this box
+    /// connected to it.
     [[nodiscard]] bool may_receive(EndpointId endpoint, Instant now) const;
-    /// The same of a request that is about to be sent, which the endpoint's rate limit has to allow as well: the
-    /// endpoint may have named one meanwhile.
+    /// Like may_receive(), for a request that is about to be sent. Checks the endpoint's rate limit too, which may have
+    /// been reported since the endpoint was chosen.
     [[nodiscard]] bool may_send(Placed const& placed, Instant now);
-    /// Whether one more endpoint may get the request, by the budget of its service.
+    /// Whether the retry budget of the service allows one more attempt.
     [[nodiscard]] bool may_retry(Admitted const& request, Instant now);
 
     void attempt_started(Admitted const& request, Workload const& workload, PlacementChoice const& choice, Instant now);
-    /// The first piece of an answer came, `taken` after the attempt started.
+    /// The first piece of an answer arrived, `taken` after the attempt started.
     void attempt_answered(Admitted const& request, PlacementChoice const& choice, Duration taken, Instant now);
-    /// Events of an answer followed one another: so many tokens in the time given.
+    /// Consecutive events of an answer brought `tokens` within `taken`.
     void answer_progressed(Admitted const& request, double tokens, Duration taken);
     void attempt_ended(RequestId request, EndpointId endpoint, AttemptResult result, Instant now);
     void endpoint_replaced(EndpointId endpoint);
     void update_reported_load(EndpointId endpoint, ReportedLoad const& reported, Instant now);
 
-    /// The boxes that share what endpoints take.
+    /// Sets the boxes that share the endpoints' rate limits.
     void set_boxes(BoxGroup boxes);
-    /// How far the clock that all boxes go by is ahead of this box's own, which runs from its boot.
+    /// Sets how far the shared clock of all boxes is ahead of this box's monotonic clock.
     void set_shared_clock(Duration ahead);
-    /// What an endpoint said of itself in an answer.
+    /// What an endpoint reported of itself in an answer.
     struct EndpointReport {
-        /// Nothing where it can't be read, and what is known holds.
+        /// Unset if it can't be read; the known limit then stays.
         std::optional<RateLimit> limit;
         bool is_draining { false };
-        /// Whether it took the request; it may have failed afterwards.
+        /// Whether the endpoint accepted the request; the request may have failed afterwards.
         bool took_request { true };
-        /// How long it wants nothing from this box.
+        /// How long the endpoint asked for no requests from this box.
         std::optional<Duration> backoff {};
     };
-    /// What follows from such a report.
+    /// The effect of an endpoint's report.
     struct ReportEffect {
-        /// As EndpointNotices::answered.
+        /// The notice to send to other boxes if the endpoint's condition changed.
         std::optional<EndpointNotice> notice;
-        /// Whether this box begins to leave the endpoint alone.
+        /// Whether a new backoff began.
         bool backoff_began { false };
     };
     [[nodiscard]] ReportEffect record_answer(
         Placed const& placed, EndpointReport const& report, Instant sent_at, Instant now);
-    /// Another box told it; true if it is news of an endpoint that is known here.
+    /// Applies a notice of another box. Returns whether it is newer than the known one and concerns a known endpoint.
     bool apply_notice(EndpointNotice const& notice, Instant now);
     /// As EndpointNotices::active.
     [[nodiscard]] std::vector<EndpointNotice> active_notices(Instant now) const;
     /// Endpoints that have a rate limit.
     [[nodiscard]] std::size_t limited_endpoints() const;
 
-    /// How old what boxes tell each other of their load is when the next report comes.
+    /// Sets the interval of load reports, which is the age of the known load when the next report arrives.
     void set_report_interval(Duration interval);
-    /// What this box tells other boxes of its load.
+    /// The load report that this box sends to other boxes.
     [[nodiscard]] LoadReport load_report(Instant now) const;
-    /// What another box told, as of `at`, in place of what it told before.
+    /// Replaces the load report of another box, as of `at`.
     void apply_load_report(std::uint64_t box, LoadReport const& report, Instant at);
 
-    /// How many of a service's engines the recent requests of all boxes would keep busy; nothing before any came.
+    /// Number of a service's engines that the recent requests of all boxes would keep busy; unset before the first
+    /// request.
     [[nodiscard]] std::optional<double> engines_needed(std::string const& service, Instant now) const;
-    /// The endpoints of a service that may get new work.
+    /// The endpoints of a service that may get new requests.
     [[nodiscard]] std::vector<EndpointRecord> usable_records(std::string_view service, Instant now) const;
 
-    /// What this box's recent requests ask of engines, by service.
+    /// Work of this box's recent requests by service.
     [[nodiscard]] std::map<std::string, WorkTotals> work_totals(Instant now) const;
-    /// The same of other boxes of the failure domain, all together.
+    /// Replaces the total work of the other boxes of the failure domain by service.
     void apply_totals_of_others(std::map<std::string, WorkTotals> const& totals, Instant now);
-    /// The part of each service's engines that this box gives to long answers.
+    /// Fraction of engines that this box uses for long answers by service.
     [[nodiscard]] std::map<std::string, double> answer_shares(Instant now);
-    /// The same as a relay decided it for all boxes of the failure domain.
+    /// Applies the fractions of engines for long answers that a relay decided for all boxes of the failure domain.
     void apply_answer_shares(std::map<std::string, double> const& shares, Instant now);
 
 private:
-    /// When a client may come back after a refusal for want of an endpoint or a configuration: about the time in which
-    /// the store tells of a new one.
+    /// Time after which a client should retry if an endpoint or a current configuration is missing: about the time in
+    /// which the store reports a new one.
     static constexpr Duration retry_after_gap { std::chrono::milliseconds(500) };
-    /// When a client may come back to a box that has just started and has no configuration yet: it reads one within
+    /// Time after which a client should retry at a box that has just started: the first configuration is read within
     /// some 50 ms.
     static constexpr Duration retry_after_start { std::chrono::milliseconds(150) };
-    /// When a client may come back to a service whose endpoints are full: a few service times.
+    /// Time after which a client should retry if all endpoints are full: a few service times.
     static constexpr Duration retry_after_full { std::chrono::milliseconds(150) };
-    /// With reports as frequent as this a box compares all engines; with rarer ones a part that is as much smaller.
-    /// Within it a long prompt is read, so what is known is of the queue that a request meets.
+    /// With load reports at least this frequent, a box compares all engines; with rarer ones, proportionally fewer. A
+    /// long prompt is read within this time, so the known load is still that of the queue that a request joins.
     static constexpr Duration fresh_report_interval { std::chrono::milliseconds(100) };
-    /// With a shorter backlog than this before it, what a first piece took says how fast the engine reads.
+    /// With a backlog of at most this, the time to the first piece shows how fast the engine reads.
     static constexpr double max_idle_backlog_milliseconds = 2;
 
     [[nodiscard]] std::optional<Rejected> refuse_by_lease(Route const* route, Instant now) const;
-    /// Refuses what even the best engine would begin to read too late.
+    /// Refuses a request that even the best engine would begin to read too late.
     [[nodiscard]] std::optional<Rejected> refuse_by_wait(Admitted const& request, PlacementChoice const& choice);
     [[nodiscard]] Rejected refuse_unknown(Reason reason, Instant now) const;
-    /// The endpoints of a service by what this box may send them.
+    /// The endpoints of a service, grouped by whether this box may send to them.
     struct Choices {
         PlacementCandidates healthy;
         PlacementCandidates unhealthy;
-        /// This box has sent them its part of what they take.
+        /// This box has used its share of their rate limits.
         std::vector<EndpointId> at_limit;
-        /// They want nothing from this box for now.
+        /// They asked for no requests for now.
         std::vector<EndpointId> backed_off;
 
         [[nodiscard]] PlacementCandidates const& best() const;
     };
     [[nodiscard]] Choices choices(Admitted const& request, std::vector<EndpointId> const& tried, Instant now);
-    /// Refuses since no endpoint is left.
+    /// Refuses a request for which no endpoint is left.
     [[nodiscard]] Rejected refuse_unplaced(
         Admitted const& request, Choices const& choices, bool was_tried, Instant now);
     [[nodiscard]] SharedMicroseconds shared_time(Instant now) const;
     void forget_notices_of_moved();
-    /// Whether the endpoint may get new work, by the list and by what it says itself.
+    /// Whether the endpoint may get new requests, by its entry and by its own reports.
     [[nodiscard]] bool is_usable(EndpointId id, Instant now) const;
-    /// The endpoints of a service that may, in the same order on every box.
+    /// The endpoints of a service that may get new requests, in the same order on every box.
     [[nodiscard]] std::vector<EndpointId> usable(std::string_view service, Instant now) const;
     [[nodiscard]] std::string const& draw_service(Route const& route);
-    /// The load of an endpoint that is still known; null for one that is gone.
+    /// The load of a known endpoint; null if it is gone.
     [[nodiscard]] EndpointLoad* load_of(EndpointId endpoint);
     [[nodiscard]] RetryBudget& budget_of(std::string const& service);
 
@@ -264,7 +265,7 @@
     std::unordered_map<std::string, RetryBudget> budgets;
     std::map<std::string, EngineDemand> demands;
     std::map<std::string, EngineSpeedEstimate> speeds;
-    /// The part of the engines that a box compares.
+    /// The fraction of engines that this box compares.
     double compared_share { 1 };
     pcg32 random;
     std::uint64_t next_request { 1 };
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -6,19 +6,19 @@
 
 namespace Routing {
 
-/// The budget for sending requests to a second endpoint, which all boxes share for each service.
+/// Limits of the retry budget of a service, which all boxes share.
 struct RetryBounds {
-    /// Repeats allowed for each request in a window.
+    /// Retries allowed per request in a window.
     double ratio { 0.2 };
     Duration window { std::chrono::seconds(10) };
-    /// Repeats allowed in a window beyond the ratio, for all boxes together.
+    /// Additional retries allowed in a window, for all boxes together.
     double slack { 0 };
 
     bool operator==(RetryBounds const&) const = default;
 };
 
-/// This box's part of the budget of one service. Boxes do not talk: each counts its own requests and leaves most of
-/// the shared slack alone.
+/// This box's part of a service's retry budget. Boxes do not communicate: each counts its own requests and uses only a
+/// small part of the shared slack.
 class RetryBudget {
 public:
     explicit RetryBudget(RetryBounds bounds)
@@ -27,13 +27,13 @@
     }
 
     void request_sent(Instant now);
-    /// Counts a repeat if the budget has room for it.
+    /// Counts a retry if the budget allows it, and returns whether it does.
     [[nodiscard]] bool try_spend(Instant now);
 
 private:
-    /// Part of the ratio that is used. Requests and their repeats may fall into different windows.
+    /// Fraction of the ratio that is used. Requests and their retries may fall into different windows.
     static constexpr double used_ratio_share = 0.85;
-    /// Part of the slack that one box may use. A hundred boxes stay inside it.
+    /// Fraction of the slack that one box may use. The retries of a hundred boxes stay within the whole budget.
     static constexpr double own_slack_share = 0.04;
 
     void forget_before(Instant cutoff);
--- a/Libraries/LibRouting/WaitLimit.h
+++ b/Libraries/LibRouting/WaitLimit.h
@@ -6,15 +6,14 @@
 
 namespace Routing {
 
-/// How long a request may wait until an engine begins to read its prompt; nothing for no limit, where the route has no
-/// goal.
+/// How long a request may wait until an engine begins to read its prompt; unset for no limit if the route has no goal.
 ///
-/// What would wait longer comes late in any case, and it makes what comes after it late too. So it is refused at once,
-/// while it has not run. It answers bursts of long prompts beyond what the engines read.
+/// A request that would wait longer is late in any case and delays the requests behind it. So it is refused at once,
+/// before it runs. This limits the queue when long prompts arrive faster than the engines can read them.
 [[nodiscard]] std::optional<Core::Duration> max_wait(Core::Duration goal, Core::Duration prefill);
 
-/// When a client may come back that was refused since the wait is longer than the limit: once the engine has worked off
-/// what is too much. `drawn`, from 0 to 1, spreads the callers, so that they don't come back together.
+/// Time after which a client should retry if its request was refused since `wait` exceeds `limit`: when the engine has
+/// worked off the excess. `jitter`, from 0 to 1, spreads the retries.
 [[nodiscard]] Core::Duration retry_after_backlog(Core::Duration wait, Core::Duration limit, double jitter);
 
 }
--- a/Libraries/LibRouting/Workload.h
+++ b/Libraries/LibRouting/Workload.h
@@ -6,11 +6,11 @@
 
 namespace Routing {
 
-/// What a request asks of an endpoint. Without a prompt it is a call of a plain service.
+/// The work of a request at an endpoint. A request without a prompt is a call to a service without engines.
 struct Workload {
     std::vector<PromptPart> prompt;
     std::uint32_t prompt_tokens { 0 };
-    /// The most tokens that the answer may have.
+    /// Maximum number of tokens in the answer.
     std::uint32_t answer_tokens { 0 };
 
     bool operator==(Workload const&) const = default;
