--- a/Benchmarks/BenchPlacement.cpp
+++ b/Benchmarks/BenchPlacement.cpp
@@ -1,4 +1,4 @@
-// How long a box takes to choose an engine, by the number of engines, where it compares all and where it compares some.
+// Time to choose an engine by the number of engines, comparing all of them or a sample.
 
 #include <LibRouting/Placement.h>
 #include <benchmark/benchmark.h>
@@ -9,7 +9,7 @@
 
 std::string const own_domain = "hall";
 
-/// Engines of one service, of which this box knows no load.
+/// Engines of one service without known load.
 struct Engines {
     explicit Engines(std::size_t count)
     {
--- a/Benchmarks/CompareRateLimits.cpp
+++ b/Benchmarks/CompareRateLimits.cpp
@@ -1,4 +1,4 @@
-// What an endpoint with a rate limit gets from boxes that deal with the limit in different ways: a table.
+// Prints a table of the requests that an endpoint with a rate limit gets from boxes with different strategies.
 
 #include <LibRouting/RateLimitPlay.h>
 #include <cstdio>
@@ -32,13 +32,13 @@
 
 int main()
 {
-    std::printf("way            boxes limit/s demand/s  most  allowed   used  used-after\n");
+    std::printf("strategy       boxes limit/s demand/s  most  allowed   used  used-after\n");
     for (std::size_t const boxes : { 6, 88, 300 })
         for (double const limit : { 0.2, 1.0, 20.0 })
             for (double const demand : { 1.0, 5.0 })
-                for (auto const& strategy :
-                    { NamedStrategy { "unheeded", IgnoredLimit {} }, NamedStrategy { "equal shares", EqualShares {} },
-                        NamedStrategy { "few boxes", FewBoxes {} }, NamedStrategy { "timetable", SlotSchedule {} } })
+                for (auto const& strategy : { NamedStrategy { "ignored limit", IgnoredLimit {} },
+                         NamedStrategy { "equal shares", EqualShares {} }, NamedStrategy { "few boxes", FewBoxes {} },
+                         NamedStrategy { "slot schedule", SlotSchedule {} } })
                     print_row(strategy, boxes, limit, demand);
     return 0;
 }
--- a/Libraries/LibRouting/ConfigurationLease.cpp
+++ b/Libraries/LibRouting/ConfigurationLease.cpp
@@ -31,7 +31,7 @@
     this->last_confirmed_at = std::max(this->last_confirmed_at, read_sent_at);
     if (this->unconfirmed_since && read_sent_at >= *this->unconfirmed_since)
         this->unconfirmed_since.reset();
-    // NOTE: What the store says later than this box was told of a newer version is the truth, whoever told it.
+    // NOTE: The store's answer to a read that was sent after the notification overrides the reported version.
     if (this->in_force && read_sent_at >= this->newest_notified_at)
         this->newest_known = this->in_force->version();
 }
@@ -69,10 +69,10 @@
         return ConfigurationFreshness::Expired;
     if (this->unconfirmed_since && held > this->bounds.apply_within)
         return ConfigurationFreshness::Expired;
-    // NOTE: Counted from when the first box that passed it on knew of the version, which is seldom long after its
-    // acknowledgement. Counted from when this box was told, one behind two relays would serve the old version for
-    // longer than the bound. Counted from the last confirmation, boxes would refuse during long transfers that come in
-    // time.
+    // NOTE: The limit counts from when the first box on the way learned of the version, which is seldom long after the
+    // store's acknowledgement. If it counted from the notification of this box, a box behind two relays would serve the
+    // old version for too long. If it counted from the last confirmation, boxes would refuse requests during long
+    // transfers that complete in time.
     if (this->is_superseded()) {
         bool const is_due = now - this->superseded_since > this->bounds.apply_within;
         return is_due ? ConfigurationFreshness::Expired : ConfigurationFreshness::Aging;
--- a/Libraries/LibRouting/ConfigurationSnapshot.cpp
+++ b/Libraries/LibRouting/ConfigurationSnapshot.cpp
@@ -73,7 +73,7 @@
     auto const host_found = this->hosts.find(without_port_in_lower_case(host));
     if (host_found == this->hosts.end())
         return nullptr;
-    // NOTE: A prefix ends with a slash, so only the slashes of the path can end a match.
+    // NOTE: Prefixes end with a slash, so a match can only end at a slash of the path.
     for (auto end = path.rfind('/'); end != std::string_view::npos; end = path.rfind('/', end - 1)) {
         auto const found = this->routes_by_key.find(RouteKey { host_found->second, path.substr(0, end + 1) });
         if (found != this->routes_by_key.end())
--- a/Libraries/LibRouting/CrashLedger.cpp
+++ b/Libraries/LibRouting/CrashLedger.cpp
@@ -32,7 +32,7 @@
 
 unsigned CrashLedger::crashes_of(Entry const& entry, Instant now)
 {
-    // NOTE: After the quarantine one crash is missing to the next, so a single run decides.
+    // NOTE: After the quarantine one more crash reaches the threshold again, so a single run decides.
     if (now - entry.last_crash >= quarantine)
         return std::min(entry.crashes, refusal_threshold - 1);
     return entry.crashes;
@@ -47,7 +47,8 @@
     if (was_cleared && report.count > entry.crashes + 1)
         return Outcome::Cleared;
     auto const crashed_at = now - age;
-    // NOTE: Told late or once more: runs of a popular request that broke before others ended well must not add up.
+    // NOTE: The report is late or repeated: failed runs of a popular request from before a successful run must not add
+    // up.
     if (entry.cleared_at && crashed_at <= *entry.cleared_at)
         return Outcome::Known;
     auto const count = std::min(report.count, refusal_threshold);
@@ -84,7 +85,7 @@
 void CrashLedger::note_crashed_endpoint(EndpointInstance const& endpoint, Instant crashed_at, Instant now)
 {
     auto const [position, is_new] = this->crashed.try_emplace(endpoint, KnownCrash { crashed_at, now });
-    // NOTE: Where lives aren't told, another crash of the endpoint may be one of another process.
+    // NOTE: If endpoints don't report start times, a later crash may be that of another process.
     if (!is_new && crashed_at > position->second.at)
         position->second = { crashed_at, now };
 }
@@ -96,7 +97,7 @@
     auto const found = this->crashed.find(endpoint);
     if (found == this->crashed.end())
         return false;
-    // NOTE: An answer may have been under way when the endpoint crashed; one to a later request was not.
+    // NOTE: An answer may have been on its way when the endpoint crashed, but not the answer to a later request.
     bool const is_later = evidence.sent_at > found->second.known_since;
     bool const is_same_process = evidence.connected_at < found->second.at;
     return is_later && is_same_process && this->retract(endpoint);
--- a/Libraries/LibRouting/EndpointBackoffs.cpp
+++ b/Libraries/LibRouting/EndpointBackoffs.cpp
@@ -16,7 +16,7 @@
 void EndpointBackoffs::request_accepted(EndpointId id, Instant sent_at)
 {
     auto const found = this->entries.find(id);
-    // NOTE: What was sent before the endpoint asked for it may be answered meanwhile.
+    // NOTE: Requests that were sent before the backoff began may still be answered.
     if (found != this->entries.end() && sent_at >= found->second.until)
         this->entries.erase(found);
 }
@@ -47,7 +47,7 @@
 
 Duration retry_after_backoff(Duration backoff, unsigned priority, double jitter)
 {
-    /// Clients of one priority come back within this time of one another, and those of the next after it.
+    /// Clients of one priority retry within this time, and those of the next priority after it.
     constexpr double spread_seconds = 0.5;
     constexpr unsigned max_distinct_priorities = 3;
     return backoff + Core::from_seconds(spread_seconds * (std::min(priority, max_distinct_priorities) + jitter));
--- a/Libraries/LibRouting/EndpointDirectory.cpp
+++ b/Libraries/LibRouting/EndpointDirectory.cpp
@@ -27,7 +27,7 @@
     endpoint.missing_since.reset();
     if (is_new || endpoint.record.started_at != record.started_at)
         this->remember_instance(record);
-    // NOTE: What took the old address says nothing of the new one, also where the record tells no life.
+    // NOTE: The report that another endpoint took the old address does not concern the new address.
     if (!is_new && endpoint.record.address != record.address) {
         endpoint.is_replaced = false;
         this->moved.push_back(endpoint.id);
--- a/Libraries/LibRouting/EndpointLoad.cpp
+++ b/Libraries/LibRouting/EndpointLoad.cpp
@@ -75,7 +75,7 @@
 {
     auto backlog = this->own_backlog() + Core::from_seconds(this->lateness_seconds.value(now));
     for (auto const& [box, share] : this->peers) {
-        // NOTE: The engine has read on since the box told this.
+        // NOTE: The engine has kept reading since the box reported this backlog.
         if (now - share.at <= peer_retention)
             backlog += std::max(Duration { 0 }, share.backlog - (now - share.at));
     }
@@ -86,7 +86,7 @@
 {
     Duration longest { 0 };
     for (auto const& [id, request] : this->own_requests) {
-        // NOTE: An answer that began after this request was sent shows that the endpoint lives.
+        // NOTE: An answer that began after this request was sent shows that the endpoint is alive.
         if (request.answer_begun || this->last_answer > request.started)
             continue;
         auto const allowed = 2 * request.expected.first_piece + overdue_margin;
@@ -105,7 +105,7 @@
 
 double EndpointLoad::failure_share(Instant now) const
 {
-    // NOTE: One attempt more in the divisor, so that a single failure is not taken for a habit.
+    // NOTE: One is added to the attempts so that a single failure does not count as a high failure rate.
     return this->failures.value(now) / (this->attempts.value(now) + 1);
 }
 
--- a/Libraries/LibRouting/EndpointNotices.cpp
+++ b/Libraries/LibRouting/EndpointNotices.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What holds if either may.
+/// The stricter combination of two conditions, for when it is unknown which of the two is valid.
 EndpointCondition stricter_of(EndpointCondition const& first, EndpointCondition const& second)
 {
     auto const& limit = first.limit.per_second;
@@ -32,7 +32,7 @@
     }
     auto& entry = known->second;
     auto const condition = sent_at >= entry.learned_at ? reported : stricter_of(reported, entry.notice.condition);
-    // NOTE: Other boxes take it for another process by now, too.
+    // NOTE: By now other boxes assume that the draining process was replaced, so they need a new notice.
     bool const is_new_drain = reported.is_draining && !this->may_still_drain(entry.notice);
     if (reported.is_draining)
         entry.notice.reported_at = now;
@@ -143,7 +143,7 @@
 
 Duration retry_after_limit(Duration slot, unsigned priority, double jitter)
 {
-    /// Least urgent requests come back after so many times what the most urgent ones wait.
+    /// Least urgent requests wait this many times as long as the most urgent ones.
     constexpr unsigned max_factor = 4;
     auto const factor = std::min(priority + 1, max_factor);
     return Core::from_seconds(Core::to_seconds(slot) * factor * (0.5 + jitter));
--- a/Libraries/LibRouting/EngineDemand.cpp
+++ b/Libraries/LibRouting/EngineDemand.cpp
@@ -7,8 +7,8 @@
 
 WorkKind work_kind(Workload const& workload)
 {
-    /// An answer is long if making it takes this many times as long as reading its prompt: summaries of a long text
-    /// take about as long to write as to read, digests seventy times as long.
+    /// An answer is long if generating it takes this many times as long as reading its prompt. Summaries of long texts
+    /// take about as long to generate as to read, digests of short ones seventy times as long.
     constexpr double long_answer_ratio = 6;
     return workload.answer_tokens * prompt_tokens_per_step > workload.prompt_tokens * long_answer_ratio
         ? WorkKind::LongAnswer
@@ -72,7 +72,7 @@
 
 double EngineDemand::tokens_per_second(Core::Instant now) const
 {
-    // NOTE: A sum that is halved with every half-life holds what comes in this time.
+    // NOTE: A sum with this half-life holds the work of this many seconds.
     auto const seconds_held = Core::to_seconds(half_life) / std::log(2.0);
     auto const totals = this->all_totals(now);
     return (totals.answer_work + totals.prompt_work) / seconds_held;
--- a/Libraries/LibRouting/EngineSpeed.cpp
+++ b/Libraries/LibRouting/EngineSpeed.cpp
@@ -25,7 +25,7 @@
 {
     if (tokens < min_prompt_tokens)
         return;
-    // NOTE: The first token takes a step after the prompt was read.
+    // NOTE: The first token takes one step after the prompt was read.
     this->reading.add((taken_milliseconds - this->step.value()) / tokens);
     this->combine();
 }
@@ -69,7 +69,7 @@
         log_reading += weight * std::log(speed.prefill_tokens_per_millisecond);
         log_step += weight * std::log(speed.step_milliseconds);
     };
-    // NOTE: One more than its samples for this box, so that there is a speed before the first.
+    // NOTE: This box has one sample more than it has seen, so that there is a speed before the first sample.
     add(this->own_speed(), static_cast<double>(std::min(this->samples(), max_samples)) + 1);
     for (auto const& [box, peer] : this->peers)
         add(peer.speed, static_cast<double>(std::min(peer.samples, max_samples)));
--- a/Libraries/LibRouting/Placement.cpp
+++ b/Libraries/LibRouting/Placement.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
-/// The same weight on every box, so that all boxes send requests about one thing to the same endpoint without talking.
+/// Rendezvous hashing: the weight is equal on every box, so all boxes send requests with a common prompt part to the
+/// same endpoint without communication.
 std::uint64_t rendezvous_weight(std::uint64_t home_key, std::string const& incarnation)
 {
     return XXH3_64bits_withSeed(incarnation.data(), incarnation.size(), home_key);
 }
 
-/// The last part that other requests share too; the very last one belongs to the request or its session.
+/// The prompt part that determines the home: the last one that other requests share. The very last part belongs to the
+/// request or its session.
 std::optional<std::uint64_t> home_key_of(Workload const& workload)
 {
     if (workload.prompt.empty())
@@ -26,13 +28,13 @@
 
 using Endpoints = std::vector<KnownEndpoint const*>;
 
-/// The endpoints of a service by whether they are meant for a request, each part in the order given.
+/// The endpoints of a service, divided by whether they are preferred for a request, each in the given order.
 struct EngineGroups {
     Endpoints preferred;
     Endpoints others;
 };
 
-/// Engines meant for a request: the first ones of a common order for long answers, the others for long prompts.
+/// Engines preferred for a request: the first ones in a common order for long answers, the others for long prompts.
 EngineGroups group_by_work_kind(Endpoints const& candidates, PlacementQuery const& query)
 {
     auto const for_answers = query.engines_for_answers;
@@ -60,10 +62,11 @@
         [&](KnownEndpoint const* endpoint) { return rendezvous_weight(home_key, endpoint->record.incarnation); });
 }
 
-/// Some of the endpoints by lot: the given part of them, two at least.
+/// A random sample of the given fraction of the endpoints, at least two of them.
 Endpoints random_sample(Endpoints endpoints, double share, pcg32& random)
 {
-    /// Two by lot spread load nearly as well as all, when what is known of it is old.
+    /// With outdated load reports, choosing the better of two random endpoints spreads load nearly as well as comparing
+    /// all.
     constexpr std::size_t min_count = 2;
     auto const part = static_cast<std::size_t>(std::ceil(static_cast<double>(endpoints.size()) * share));
     auto const count = std::max(min_count, part);
@@ -77,7 +80,7 @@
     return endpoints;
 }
 
-/// The endpoints that a box compares: all, or the home and some of each side.
+/// The endpoints that a box compares: all, or the home and a sample of each group.
 EngineGroups sample_groups(EngineGroups groups, KnownEndpoint const* home, PlacementQuery const& query)
 {
     if (!query.is_engine || query.compared_share >= 1)
@@ -90,12 +93,12 @@
     return chosen;
 }
 
-/// What an engine has to read of a prompt, by what it is believed to keep.
+/// Prompt tokens that an engine has to read, by the estimate of its cache.
 struct TokensToRead {
     double all { 0 };
-    /// Those of parts that other requests share.
+    /// Tokens of parts that other requests share.
     double shared { 0 };
-    /// All, if what precedes the last part is certainly kept or short beside it; else 0.
+    /// Equal to `all` if the shared parts are certainly cached or short compared to it; otherwise 0.
     double certain { 0 };
 };
 
@@ -105,7 +108,7 @@
     TokensToRead to_read { static_cast<double>(workload.prompt_tokens), 0, 0 };
     for (std::size_t index = 0; index + 1 < workload.prompt.size(); ++index)
         to_read.shared += workload.prompt[index].tokens;
-    // NOTE: A kept part saves nothing unless every part before it is kept too.
+    // NOTE: A cached part saves nothing unless all parts before it are cached too.
     for (std::size_t index = 0; index < workload.prompt.size(); ++index) {
         auto const& part = workload.prompt[index];
         bool const is_shared = index + 1 < workload.prompt.size();
@@ -118,13 +121,13 @@
     }
     to_read.all = std::max(0.0, to_read.all);
     to_read.shared = std::max(0.0, to_read.shared);
-    /// Part of the tokens to read that another box may have made the engine keep without a speed being far off.
+    /// Fraction of the tokens to read that may be cached through other boxes without distorting a speed sample.
     constexpr double max_uncertain_share = 0.2;
     to_read.certain = to_read.shared <= to_read.all * max_uncertain_share ? to_read.all : 0;
     return to_read;
 }
 
-/// A prediction and what it costs to choose it, in milliseconds.
+/// A prediction and the cost of choosing it, in milliseconds.
 struct Candidate {
     PlacementChoice choice;
     double cost { 0 };
@@ -153,7 +156,7 @@
     auto const running = load.running(query.now);
     auto const free_slots = static_cast<double>(endpoint.record.slots) - running;
     auto const queue_rounds = free_slots >= 1 ? 0.0 : (1 - free_slots) / std::max(1U, endpoint.record.slots);
-    // NOTE: Among endpoints with free slots the emptier one is taken, since peers send there too.
+    // NOTE: Among endpoints with free slots the least busy one is chosen, since other boxes send requests there too.
     auto const busy_share = running / std::max(1U, endpoint.record.slots);
     auto const expected = model.plain_call_milliseconds * (1 + queue_rounds + busy_share / 2);
     return { { endpoint.id, Duration { 0 }, Core::from_seconds(expected / 1000),
--- a/Libraries/LibRouting/RateSchedule.cpp
+++ b/Libraries/LibRouting/RateSchedule.cpp
@@ -55,7 +55,7 @@
 
 unsigned RateSchedule::allotment(std::uint64_t slot, std::string_view endpoint, BoxGroup const& boxes) const
 {
-    // NOTE: Fractions of a request add up over slots. More than boxes could ever send is not worth counting.
+    // NOTE: Fractions of a request add up over slots. The upper limit exceeds what boxes can send.
     constexpr double most_in_slot = 1e6;
     auto const in_slot = std::min(this->per_second * Core::to_seconds(this->length), most_in_slot);
     auto const whole = std::floor(in_slot);
--- a/Libraries/LibRouting/RequestFingerprint.cpp
+++ b/Libraries/LibRouting/RequestFingerprint.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Chained, so that the parts can't run into each other: "/a" + "bc" is not "/ab" + "c".
+/// Chained, so that "/a" + "bc" and "/ab" + "c" have different hashes.
 std::uint64_t chain_hash(std::uint64_t before, std::string_view part)
 {
     return XXH3_64bits_withSeed(part.data(), part.size(), before);
--- a/Libraries/LibRouting/RequestRouter.cpp
+++ b/Libraries/LibRouting/RequestRouter.cpp
@@ -13,9 +13,9 @@
 
 unsigned urgency_of(Route const& route, ClientAccount const* account)
 {
-    /// Priorities of each kind that are told apart; endpoints know ten ranks.
+    /// Priorities of routes and of accounts that are distinguished; endpoints distinguish ten ranks.
     constexpr unsigned distinct_priorities = 3;
-    /// The rank of accounts that have none: between the others.
+    /// Accounts without a priority rank between the others.
     constexpr unsigned default_priority = 1;
     auto const of_account = account ? account->priority.value_or(default_priority) : default_priority;
     return std::min(route.priority, distinct_priorities - 1) * distinct_priorities
@@ -226,7 +226,7 @@
 
 PlacementCandidates const& RequestRouter::Choices::best() const
 {
-    // NOTE: When no endpoint is trusted the belief may be wrong, and trying one costs less than refusing.
+    // NOTE: If no endpoint is considered healthy, the estimate may be wrong, and trying one costs less than refusing.
     bool const is_any_healthy = !this->healthy.usual.empty() || !this->healthy.limited.empty();
     return is_any_healthy ? this->healthy : this->unhealthy;
 }
@@ -311,7 +311,7 @@
 {
     std::scoped_lock const guard(this->endpoints_lock);
     auto const id = placed.choice.endpoint;
-    // NOTE: An answer may come after its endpoint was forgotten; what was known of it must not come back to life.
+    // NOTE: An answer may arrive after its endpoint was removed, whose state must not be created again.
     if (this->directory.find(id) == nullptr)
         return {};
     if (report.took_request)
@@ -449,8 +449,8 @@
     std::scoped_lock const guard(this->configuration_lock);
     if (this->lease.freshness(now) != ConfigurationFreshness::Expired)
         return {};
-    // NOTE: Without a way to the store a public route is served, since nothing speaks against it. A newer version that
-    // is known to exist does: it may have dropped the route, or moved it to another service.
+    // NOTE: While the store can't be reached, public routes are served, since no key is needed. A known newer version
+    // stops them too: it may have removed the route or moved it to another service.
     bool const needs_key = this->lease.current()->needs_keys() && !(route != nullptr && route->is_public);
     if (!needs_key && !this->lease.is_superseded())
         return {};
@@ -463,8 +463,8 @@
     auto const own_limit = max_wait(request.route->goal, choice.prefill);
     if (!own_limit || wait <= *own_limit)
         return {};
-    // NOTE: Engines let urgent requests in first, so these wait less than predicted; and what is urgent must not be
-    // refused while something less urgent, with a longer goal, is still taken.
+    // NOTE: Engines process urgent requests first, so these wait less than predicted. And no urgent request may be
+    // refused while a less urgent one with a longer goal is still accepted.
     auto const goal = request.configuration->longest_goal(request.service, request.route->priority);
     auto const limit = max_wait(goal, choice.prefill);
     if (wait <= *limit)
@@ -476,7 +476,7 @@
 Rejected RequestRouter::refuse_unknown(Reason reason, Instant now) const
 {
     std::scoped_lock const guard(this->configuration_lock);
-    // NOTE: A newer configuration may know the route or the key, so a final answer needs a fresh one.
+    // NOTE: A newer configuration may contain the route or the key, so a permanent refusal needs a fresh configuration.
     if (this->lease.freshness(now) == ConfigurationFreshness::Fresh)
         return { reason, {} };
     return { Reason::ConfigurationAging, retry_after_gap };
@@ -502,7 +502,7 @@
 
 EndpointLoad* RequestRouter::load_of(EndpointId endpoint)
 {
-    // NOTE: Attempts may end after their endpoint was forgotten; its load must not come back to life.
+    // NOTE: Attempts may end after their endpoint was removed, whose load must not be created again.
     return this->directory.find(endpoint) == nullptr ? nullptr : &this->loads[endpoint];
 }
 
@@ -532,7 +532,7 @@
     std::scoped_lock const guard(this->endpoints_lock);
     std::map<std::string, double> shares;
     for (auto& [service, demand] : this->demands) {
-        // NOTE: Decides anew, since a relay may have no requests of its own to do so.
+        // NOTE: The division is computed here, since a relay may have no requests of its own that would trigger it.
         static_cast<void>(demand.engines_for_answers(this->usable(service, now).size(), now));
         if (auto const share = demand.answer_share())
             shares.emplace(service, *share);
--- a/Libraries/LibRouting/WaitLimit.cpp
+++ b/Libraries/LibRouting/WaitLimit.cpp
@@ -6,11 +6,10 @@
 
 std::optional<Core::Duration> max_wait(Core::Duration goal, Core::Duration prefill)
 {
-    /// Part of the goal that waiting and reading may take as predicted. The rest is for what the prediction does not
-    /// see.
+    /// Fraction of the goal that waiting and reading may take as predicted. The rest covers what the prediction misses.
     constexpr double share_for_first_piece = 0.6;
-    /// Part of the goal that any request may wait, however long its own prompt. Without it the largest prompts would be
-    /// refused whenever anything is queued.
+    /// Fraction of the goal that any request may wait, however long its own prompt is. Otherwise the longest prompts
+    /// would be refused whenever anything is queued.
     constexpr double share_for_waiting = 0.25;
     if (goal <= Core::Duration { 0 })
         return {};
--- a/Tests/LibRouting/RateLimitPlay.h
+++ b/Tests/LibRouting/RateLimitPlay.h
@@ -7,41 +7,41 @@
 #include <random>
 #include <variant>
 
-/// Boxes that all have more requests for an endpoint than it takes, played in virtual time, with boxes that start, are
-/// lost and have clocks that step.
+/// Simulates, in virtual time, boxes that have more requests for an endpoint than its rate limit allows. Boxes restart,
+/// fail and have clocks that jump.
 namespace RateLimitPlay {
 
 using namespace Routing;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The ways in which a box may deal with an endpoint's limit.
+// Strategies of a box for an endpoint's limit.
 
-/// Sends as if there were none.
+/// Sends as if there were no limit.
 struct IgnoredLimit { };
-/// Each box sends an equal part of the limit, whenever it likes.
+/// Each box sends an equal share of the limit at any time.
 struct EqualShares { };
-/// A few boxes, always the same, share the limit.
+/// A few fixed boxes share the limit.
 struct FewBoxes { };
-/// Turns that all boxes work out alike.
+/// Boxes use the common schedule of slots.
 struct SlotSchedule { };
 using Strategy = std::variant<IgnoredLimit, EqualShares, FewBoxes, SlotSchedule>;
 
 struct Scenario {
     std::size_t boxes { 6 };
     double limit_per_second { 1 };
-    /// Requests a second that each box would send to the endpoint.
+    /// Requests per second that each box would send to the endpoint.
     double demand_of_box { 5 };
     Strategy strategy { SlotSchedule {} };
     std::uint64_t seed { 1 };
 };
 
 struct Result {
-    /// Most requests in any four seconds, from some seconds after the endpoint named its limit.
+    /// The most requests in any window, starting some seconds after the endpoint reported its limit.
     std::size_t most_in_window { 0 };
-    /// Part of the limit that was used, in the time without disturbances.
+    /// Fraction of the limit that was used before any disruption.
     double used { 0 };
-    /// The same after a tenth of the boxes was lost.
+    /// Fraction of the limit that was used after a tenth of the boxes failed.
     double used_after_loss { 0 };
 
     bool operator==(Result const&) const = default;
@@ -56,13 +56,13 @@
 inline constexpr Duration duration { seconds(48) };
 inline constexpr EndpointId endpoint_id { 1 };
 
-/// The most that may reach the endpoint in a window.
+/// The most requests that may reach the endpoint in a window.
 inline std::size_t allowed(double limit_per_second)
 {
     return static_cast<std::size_t>(1.5 * limit_per_second * Core::to_seconds(window) + 5);
 }
 
-/// Tokens for requests that come in steadily and are kept up to one.
+/// A token bucket that holds one token.
 class Bucket {
 public:
     [[nodiscard]] bool take(double per_second, Instant now)
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Each box tells three others a second what it knows.
+    /// Each box sends its notices to three others each second.
     void gossip()
     {
         for (auto const& box : this->boxes) {
@@ -207,8 +207,8 @@
         this->at(this->now + seconds(1), [this] { this->gossip(); });
     }
 
-    /// A fifth of the boxes start anew, a tenth is lost for good though the list still names them, and clocks of some
-    /// step by two seconds for a while.
+    /// A fifth of the boxes restart, a tenth fail permanently while they are still listed, and the clocks of some jump
+    /// by two seconds for a while.
     void schedule_disruptions()
     {
         for (std::size_t number = 0; number < this->boxes.size(); ++number) {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// The box asks three others what they know before it takes requests.
+    /// The box gets the notices of three others before it accepts requests.
     void restart(std::size_t number)
     {
         this->boxes[number] = Box {};
--- a/Tests/LibRouting/TestConfiguration.cpp
+++ b/Tests/LibRouting/TestConfiguration.cpp
@@ -27,7 +27,7 @@
     return std::make_shared<ConfigurationSnapshot const>(std::move(configuration));
 }
 
-/// Routes over few letters, so that prefixes begin one another and hosts differ only in case or not at all.
+/// Routes with few distinct letters, so that some prefixes begin others and hosts are equal or differ in case only.
 Configuration random_configuration(std::mt19937_64& random)
 {
     static constexpr std::array hosts { "h.example", "H.Example", "other.example", "o", "" };
@@ -85,7 +85,7 @@
 
 }
 
-TEST_CASE("the longest prefix of the host's routes wins")
+TEST_CASE("the route with the longest matching prefix is found")
 {
     Configuration configuration;
     configuration.routes = { route_to("h.example", "/"), route_to("h.example", "/a/"), route_to("h.example", "/a/b/"),
@@ -100,7 +100,7 @@
     CHECK(snapshot.find_route("h.example", "") == nullptr);
 }
 
-TEST_CASE("a route is found as by a scan of all routes")
+TEST_CASE("route lookup agrees with a scan of all routes")
 {
     static constexpr std::string_view signs = "ab//";
     std::size_t found = 0;
@@ -125,7 +125,7 @@
     CHECK(found > 1000);
 }
 
-TEST_CASE("the longest goal is the one that a scan of all routes finds")
+TEST_CASE("the longest goal agrees with a scan of all routes")
 {
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
         CAPTURE(seed);
@@ -139,7 +139,7 @@
     }
 }
 
-TEST_CASE("a key belongs to the account that holds it")
+TEST_CASE("an API key is found in its account")
 {
     Configuration configuration;
     configuration.accounts = { { "first", { "k1", "k2" }, 1 }, { "second", { "k3" }, {} } };
@@ -150,7 +150,7 @@
     CHECK(snapshot.find_account("") == nullptr);
 }
 
-TEST_CASE("a lease never steps back to an older version")
+TEST_CASE("a lease never goes back to an older version")
 {
     ConfigurationLease lease({ seconds(2), seconds(5) });
     CHECK(lease.freshness(at(seconds(0))) == ConfigurationFreshness::Missing);
@@ -162,7 +162,7 @@
     CHECK(lease.current()->version() == 9);
 }
 
-TEST_CASE("a lease ages until the store confirms it again")
+TEST_CASE("a lease ages until the store confirms the version again")
 {
     ConfigurationLease lease({ seconds(2), seconds(5) });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
@@ -177,14 +177,14 @@
     CHECK(lease.freshness(at(seconds(7))) == ConfigurationFreshness::Fresh);
 }
 
-TEST_CASE("without a bound for revocation a lease never expires")
+TEST_CASE("a lease without a revocation limit never expires")
 {
     ConfigurationLease lease({ seconds(2), std::nullopt });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
     CHECK(lease.freshness(at(seconds(1000))) == ConfigurationFreshness::Aging);
 }
 
-TEST_CASE("the bound on a superseded version runs from when the version after it became known, not from the newest")
+TEST_CASE("a superseded version expires by the time at which the next version became known, not the newest")
 {
     ConfigurationLease lease({ seconds(2), std::nullopt });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
@@ -193,7 +193,7 @@
     lease.note_version(4, at(milliseconds(1500)), at(milliseconds(1500)));
     CHECK(lease.freshness(at(milliseconds(2500))) == ConfigurationFreshness::Aging);
     CHECK(lease.freshness(at(milliseconds(2501))) == ConfigurationFreshness::Expired);
-    // Of a version between, no more is known than since when the first after it was.
+    // For a version in between, only the time is known at which the first later version became known.
     static_cast<void>(lease.offer(version(3), std::nullopt));
     CHECK(lease.known_since() == at(milliseconds(500)));
     CHECK(lease.freshness(at(milliseconds(3500))) == ConfigurationFreshness::Aging);
@@ -203,7 +203,7 @@
     CHECK(lease.freshness(at(milliseconds(3501))) != ConfigurationFreshness::Expired);
 }
 
-TEST_CASE("a box that was away for long has time to read the version that it missed")
+TEST_CASE("a box that was cut off has time to read the version that it missed")
 {
     ConfigurationLease lease({ seconds(2), std::nullopt });
     static_cast<void>(lease.offer(version(1), at(seconds(0))));
--- a/Tests/LibRouting/TestCrashLedger.cpp
+++ b/Tests/LibRouting/TestCrashLedger.cpp
@@ -27,7 +27,7 @@
     return { request, endpoint(number), count };
 }
 
-/// Three crashes, each of a run that began when the one before was known.
+/// Three crashes, each in a run that began when the previous crash was known.
 CrashLedger ledger_with_refused_request()
 {
     CrashLedger ledger;
@@ -38,7 +38,7 @@
 
 }
 
-TEST_CASE("a fingerprint tells requests apart by account, host, path and body, and by where one part ends")
+TEST_CASE("fingerprints differ by account, host, path and body, and by the boundaries between them")
 {
     auto const request = fingerprint_of("account", "host", "/path", "body");
     CHECK(request == fingerprint_of("account", "host", "/path", "body"));
@@ -51,7 +51,7 @@
     CHECK(to_string(RequestFingerprint { 1, 255 }) == "000000000000000100000000000000ff");
 }
 
-TEST_CASE("a request is refused from the third crash on, for ten minutes, and then one run decides")
+TEST_CASE("a request is refused for ten minutes from the third crash on, then a single run decides")
 {
     CrashLedger ledger;
     ledger.apply(crash(1, 1), just_now, start);
@@ -72,7 +72,7 @@
     CHECK(ledger.size() == 0);
 }
 
-TEST_CASE("a popular request that is under all endpoints of a lost rack counts one crash")
+TEST_CASE("a popular request that was running on all endpoints of a failed rack counts one crash")
 {
     CrashLedger ledger;
     constexpr int rack = 40;
@@ -81,7 +81,7 @@
     CHECK(ledger.status(harmful, start) == CrashStatus { 1, {} });
 }
 
-TEST_CASE("a run that ends well clears its request, also against what is told late")
+TEST_CASE("a successful run clears its request, and late reports don't undo that")
 {
     auto ledger = ledger_with_refused_request();
     CHECK(ledger.clear(harmful, start + seconds(1)));
@@ -89,52 +89,52 @@
     CHECK(ledger.status(harmful, start + seconds(1)) == CrashStatus {});
     CHECK(ledger.apply(crash(3, 3), seconds(1), start + seconds(2)) == Outcome::Cleared);
     CHECK(ledger.status(harmful, start + seconds(2)) == CrashStatus {});
-    // What comes after it counts anew.
+    // Later crashes are counted from the start.
     for (unsigned count = 1; count <= CrashLedger::refusal_threshold; ++count)
         CHECK(ledger.apply(crash(9, count), just_now, start + seconds(3)) == Outcome::New);
     CHECK(ledger.status(harmful, start + seconds(3)).refused_for.has_value());
 }
 
-TEST_CASE("only an answer on a connection older than the crash takes it back: any other may come from a new process")
+TEST_CASE("only an answer on a connection older than the crash retracts the crash")
 {
     auto ledger = ledger_with_refused_request();
     constexpr auto before = start - seconds(1);
     constexpr auto later = start + milliseconds(1);
-    SUBCASE("an answer to a request that was sent before the crash was known says nothing")
+    SUBCASE("an answer to a request that was sent before the crash was known does not")
     {
         CHECK_FALSE(ledger.endpoint_answered(endpoint(2), { before, start }));
         CHECK(ledger.status(harmful, start).crashes == 3);
     }
-    SUBCASE("an answer to a later one on a connection that came up after the crash says nothing")
+    SUBCASE("an answer to a later request on a connection that was opened after the crash does not")
     {
         CHECK_FALSE(ledger.endpoint_answered(endpoint(2), { start, later }));
         CHECK_FALSE(ledger.endpoint_answered(endpoint(2), { later, later + seconds(5) }));
         CHECK(ledger.status(harmful, start).crashes == 3);
     }
-    SUBCASE("an answer to a later one on an older connection takes it back")
+    SUBCASE("an answer to a later request on an older connection does")
     {
         CHECK(ledger.endpoint_answered(endpoint(2), { before, later }));
         CHECK_FALSE(ledger.endpoint_answered(endpoint(2), { before, later + milliseconds(1) }));
         CHECK(ledger.status(harmful, start + seconds(1)) == CrashStatus { 2, {} });
     }
-    SUBCASE("an answer on a connection older than the last crash of several is of the process that ended last")
+    SUBCASE("after several crashes the connection must be older than the last one")
     {
         ledger.apply(crash(2, 1, { 8, 8 }), just_now, start + seconds(10));
         CHECK_FALSE(ledger.endpoint_answered(endpoint(2), { start + seconds(5), start + seconds(9) }));
         CHECK(ledger.endpoint_answered(endpoint(2), { start + seconds(5), start + seconds(11) }));
     }
-    SUBCASE("another life of the endpoint says nothing")
+    SUBCASE("an answer of another instance of the endpoint does not")
     {
         CHECK_FALSE(ledger.endpoint_answered({ "e2", 2000 }, { before, later }));
         CHECK(ledger.status(harmful, start).crashes == 3);
     }
-    SUBCASE("another box tells it")
+    SUBCASE("a retraction by another box does")
     {
         CHECK(ledger.retract(endpoint(3)));
     }
 }
 
-TEST_CASE("a report that is told twice, late or out of order changes nothing that is known")
+TEST_CASE("repeated, late and out-of-order reports change nothing")
 {
     auto ledger = ledger_with_refused_request();
     for (unsigned count = 1; count <= CrashLedger::refusal_threshold; ++count)
@@ -144,7 +144,7 @@
     CHECK(ledger.apply(crash(1, 3, { 5, 5 }), CrashLedger::retention, start) == Outcome::Known);
 }
 
-TEST_CASE("while one run of a request that crashed an endpoint decides, no other one begins")
+TEST_CASE("no other run of a request that crashed an endpoint begins during a probe")
 {
     CrashLedger ledger;
     CHECK_FALSE(ledger.status(harmful, start).is_probed);
@@ -153,19 +153,19 @@
     ledger.renew_probe(harmful, start);
     CHECK(ledger.status(harmful, start).is_probed);
     CHECK_FALSE(ledger.status({ 1, 8 }, start).is_probed);
-    SUBCASE("until its teller says that it is over")
+    SUBCASE("until the box of the probe ends it")
     {
         ledger.end_probe(harmful);
     }
-    SUBCASE("until a run ends well")
+    SUBCASE("until a run succeeds")
     {
         ledger.clear(harmful, start);
     }
-    SUBCASE("until its crash is told")
+    SUBCASE("until its crash is reported")
     {
         ledger.apply(crash(2, 2), just_now, start);
     }
-    SUBCASE("not until another run's crash is told that began before")
+    SUBCASE("but a crash of a run that began before the probe does not end it")
     {
         ledger.apply(crash(2, 1), just_now, start);
         CHECK(ledger.status(harmful, start).is_probed);
@@ -174,7 +174,7 @@
     CHECK_FALSE(ledger.status(harmful, start).is_probed);
 }
 
-TEST_CASE("a probe of which nothing is heard any more keeps nobody out for longer than its lease")
+TEST_CASE("a probe that is not renewed ends with its lease")
 {
     CrashLedger ledger;
     ledger.apply(crash(1, 1), just_now, start);
@@ -187,7 +187,7 @@
     CHECK(ledger.probe_count() <= CrashLedger::max_requests);
 }
 
-TEST_CASE("a caller who makes up requests pushes out none that crashed twice, and memory stays bounded")
+TEST_CASE("made-up requests don't evict a request that crashed twice, and memory is bounded")
 {
     CrashLedger ledger;
     ledger.apply(crash(1, 1), just_now, start);
@@ -202,17 +202,17 @@
 
 namespace {
 
-/// How often the harmful request comes, in ticks on average.
+/// Average number of ticks between harmful requests.
 struct HarmfulLoad {
     std::uint32_t ticks_between { 1 };
-    /// Whether boxes keep to one run at a time of a request that has crashed an engine.
+    /// Whether boxes allow only a single run at a time of a request that has crashed an engine.
     bool limits_runs { true };
 };
 
-/// Six boxes before nine engines, virtual time. Clients come with a harmful request; each engine that begins to run it
-/// ends 100 ms later with all that runs there, and is back after 3 s under its id, which tells no life. Other clients
-/// try twice, and all boxes serve one popular request. News is known at all boxes some milliseconds later. Boxes keep a
-/// connection to each engine from its start on.
+/// Simulates six boxes and nine engines in virtual time. Clients send a harmful request: each engine that runs it
+/// crashes 100 ms later with all its runs, and is back after 3 s under the same id without reporting a start time.
+/// Other clients try twice, and all boxes serve one popular request. Messages between boxes take some milliseconds.
+/// Boxes keep a connection to each engine from its start on.
 class HarmfulClientSimulation {
 public:
     HarmfulClientSimulation(std::uint64_t seed, HarmfulLoad load)
@@ -228,11 +228,11 @@
     }
 
     unsigned crashed_engines { 0 };
-    /// Runs of the harmful request that began when three engines had ended.
+    /// Runs of the harmful request that began after three engines had crashed.
     unsigned excess_sends { 0 };
     unsigned harmless_refused { 0 };
     unsigned popular_refused { 0 };
-    /// Requests of others than the harmful client that were told to come back while another run decided.
+    /// Harmless requests that were told to retry while a probe was running.
     unsigned harmless_delayed { 0 };
     unsigned harmless_placed { 0 };
 
@@ -290,7 +290,7 @@
         });
         for (std::size_t index = 0; index < this->engines.size(); ++index)
             this->run_engine(index);
-        // Every 8 ms and 40 ms.
+        // Harmless requests arrive every 8 ms on average, the popular one every 40 ms.
         if (this->random(this->load.ticks_between) == 0)
             this->place(harmful, 0);
         if (this->random(2) == 0)
@@ -366,11 +366,11 @@
         }
     }
 
-    /// Its own box knows at once.
+    /// The box of the run gets the message at once.
     void send(Run const& run, decltype(Message::content) const& content)
     {
         for (std::size_t box = 0; box < this->ledgers.size(); ++box) {
-            // One telling in ten is lost, and the next comes a quarter of a second later.
+            // One message in ten is lost and sent again a quarter of a second later.
             auto const delay = box == run.box ? 0 : this->random(10) == 0 ? 260 : 2 + this->random(10);
             this->messages.push_back({ box, run.request, content, this->now, this->now + milliseconds(delay) });
         }
@@ -387,38 +387,37 @@
 
 }
 
-TEST_CASE(
-    "a client that comes back with a harmful request takes few engines with it, and no harmless request is refused")
+TEST_CASE("a client that resends a harmful request crashes few engines, and no harmless request is refused")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        // Each 0.7 s.
-        HarmfulClientSimulation run(seed, { 175 });
-        run.run();
-        CHECK(run.crashed_engines >= CrashLedger::refusal_threshold);
-        CHECK(run.crashed_engines <= CrashLedger::refusal_threshold + 3);
-        CHECK(run.harmless_refused == 0);
-        CHECK(run.popular_refused == 0);
+        // A harmful request each 0.7 s.
+        HarmfulClientSimulation simulation(seed, { 175 });
+        simulation.run();
+        CHECK(simulation.crashed_engines >= CrashLedger::refusal_threshold);
+        CHECK(simulation.crashed_engines <= CrashLedger::refusal_threshold + 3);
+        CHECK(simulation.harmless_refused == 0);
+        CHECK(simulation.popular_refused == 0);
     }
 }
 
-TEST_CASE("a harmful request of which copies run at the same time is sent to few engines once three have ended")
+TEST_CASE("concurrent copies of a harmful request are sent to few engines once three have crashed")
 {
     unsigned excess_without_limit = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        // Each 40 ms.
-        HarmfulClientSimulation run(seed, { 10 });
-        run.run();
-        CHECK(run.crashed_engines >= CrashLedger::refusal_threshold);
-        CHECK(run.excess_sends <= 3);
-        CHECK(run.harmless_refused == 0);
-        // Of the harmless requests one in a hundred, at the most, has to come back.
-        CHECK((run.harmless_delayed + run.popular_refused) * 100 <= run.harmless_placed);
+        // A harmful request each 40 ms.
+        HarmfulClientSimulation simulation(seed, { 10 });
+        simulation.run();
+        CHECK(simulation.crashed_engines >= CrashLedger::refusal_threshold);
+        CHECK(simulation.excess_sends <= 3);
+        CHECK(simulation.harmless_refused == 0);
+        // At most one harmless request in a hundred has to be retried.
+        CHECK((simulation.harmless_delayed + simulation.popular_refused) * 100 <= simulation.harmless_placed);
         HarmfulClientSimulation without_limit(seed, { 10, false });
         without_limit.run();
         excess_without_limit += without_limit.excess_sends > 3 ? 1 : 0;
     }
-    // Where crashes are counted and copies may run side by side.
+    // Counting crashes is not enough if copies may run concurrently.
     CHECK(excess_without_limit > 0);
 }
--- a/Tests/LibRouting/TestEndpointBackoffs.cpp
+++ b/Tests/LibRouting/TestEndpointBackoffs.cpp
@@ -17,7 +17,7 @@
 
 }
 
-TEST_CASE("an endpoint is left alone for as long as it said, from the longest of its answers")
+TEST_CASE("an endpoint gets no requests until the longest of its backoffs is over")
 {
     EndpointBackoffs backoffs;
     CHECK(backoffs.may_be_chosen(endpoint, at(seconds(0))));
@@ -30,7 +30,7 @@
     CHECK(backoffs.available_at(endpoint) == at(seconds(3)));
 }
 
-TEST_CASE("an answer to what was sent before doesn't end it")
+TEST_CASE("an answer to a request that was sent before the backoff ended doesn't end the backoff")
 {
     EndpointBackoffs backoffs;
     backoffs.start(endpoint, seconds(3), at(seconds(0)));
@@ -39,32 +39,32 @@
     CHECK(backoffs.is_backed_off(endpoint, at(seconds(2))));
 }
 
-TEST_CASE("afterwards one request at a time tries whether the endpoint takes work again")
+TEST_CASE("after a backoff one request at a time probes the endpoint")
 {
     EndpointBackoffs backoffs;
     backoffs.start(endpoint, seconds(3), at(seconds(0)));
     backoffs.endpoint_chosen(endpoint, at(seconds(3)));
     CHECK_FALSE(backoffs.may_be_chosen(endpoint, at(milliseconds(3100))));
-    // The try itself is not stopped by what it began.
+    // The probe itself may still be sent.
     CHECK_FALSE(backoffs.is_backed_off(endpoint, at(milliseconds(3100))));
-    SUBCASE("it does")
+    SUBCASE("the endpoint accepts the probe")
     {
         backoffs.request_accepted(endpoint, at(seconds(3)));
         CHECK(backoffs.may_be_chosen(endpoint, at(milliseconds(3100))));
     }
-    SUBCASE("it turns that away too")
+    SUBCASE("the endpoint refuses the probe")
     {
         CHECK(backoffs.start(endpoint, seconds(3), at(milliseconds(3100))));
         CHECK_FALSE(backoffs.may_be_chosen(endpoint, at(seconds(6))));
         CHECK(backoffs.may_be_chosen(endpoint, at(milliseconds(6100))));
     }
-    SUBCASE("it says nothing")
+    SUBCASE("the probe has no result")
     {
         CHECK(backoffs.may_be_chosen(endpoint, at(milliseconds(3300))));
     }
 }
 
-TEST_CASE("callers come back afterwards, the most urgent first and not all at once")
+TEST_CASE("clients retry after the backoff, the most urgent first and spread over time")
 {
     CHECK(retry_after_backoff(seconds(2), 0, 0) == seconds(2));
     CHECK(retry_after_backoff(seconds(2), 0, 1) == milliseconds(2500));
--- a/Tests/LibRouting/TestEndpointDirectory.cpp
+++ b/Tests/LibRouting/TestEndpointDirectory.cpp
@@ -20,7 +20,7 @@
 
 }
 
-TEST_CASE("an endpoint that drains gets no new work, and its change is told once")
+TEST_CASE("a draining endpoint gets no new requests, and its change is reported once")
 {
     EndpointDirectory directory;
     CHECK(directory.put(record("a")));
@@ -32,7 +32,7 @@
     CHECK(directory.size() == 1);
 }
 
-TEST_CASE("an entry that vanishes in calm times is gone at once")
+TEST_CASE("an entry that vanishes while the store is available is removed at once")
 {
     EndpointDirectory directory;
     directory.put(record("a"));
@@ -44,7 +44,7 @@
     CHECK(directory.take_removed().empty());
 }
 
-TEST_CASE("an entry that lapsed while the store was away is kept for two seconds after its return")
+TEST_CASE("an entry that lapsed during an outage of the store is kept for two seconds after the outage")
 {
     EndpointDirectory directory;
     directory.put(record("back"));
@@ -61,7 +61,7 @@
     CHECK(directory.take_removed().size() == 1);
 }
 
-TEST_CASE("an endpoint whose address another one has now is left alone, and a new start gets a new id")
+TEST_CASE("an endpoint whose address belongs to another one gets no requests, and a new incarnation gets a new id")
 {
     EndpointDirectory directory;
     directory.put(record("a"));
@@ -73,7 +73,7 @@
     CHECK(directory.usable("pool", at(seconds(0))).front() != id);
 }
 
-TEST_CASE("an endpoint that lost its address to another one is used again at the next address that it tells")
+TEST_CASE("an endpoint that lost its address to another one is used again at its next address")
 {
     EndpointDirectory directory;
     directory.put(record("a"));
@@ -105,21 +105,20 @@
 
 }
 
-/// What users would see: an engine that crashed and is back gets no work, or is taken for loaded, since what was said
-/// of its life before still holds; "another endpoint has the address", once said, was never taken back while it was
-/// listed. Cause: an endpoint was its id. Evidence: the cases below.
-TEST_CASE("an endpoint that starts again under its id is another one")
+/// Guards against state of the previous instance being applied to a restarted endpoint, which would then get no
+/// requests or seem loaded. An incarnation alone does not identify an instance.
+TEST_CASE("a restarted endpoint is a new instance")
 {
     EndpointDirectory directory;
     directory.put(instance(1000));
     auto const before = id_of(directory);
     directory.mark_replaced(before);
     CHECK(directory.usable("pool", at(seconds(0))).empty());
-    SUBCASE("with a later start")
+    SUBCASE("with a later start time")
     {
         CHECK(directory.put(instance(2000)));
     }
-    SUBCASE("with an earlier one, since its clock was set back")
+    SUBCASE("with an earlier start time, since its clock was set back")
     {
         CHECK(directory.put(instance(500)));
     }
@@ -130,15 +129,15 @@
     CHECK(directory.size() == 1);
 }
 
-TEST_CASE("late word of an earlier life doesn't bring it back")
+TEST_CASE("a late report of an earlier instance doesn't restore it")
 {
     EndpointDirectory directory;
     directory.put(instance(1000));
-    SUBCASE("while the later one is listed")
+    SUBCASE("while the later instance is listed")
     {
         directory.put(instance(2000));
     }
-    SUBCASE("with its entry gone in between")
+    SUBCASE("with its entry removed in between")
     {
         directory.remove("a", at(seconds(0)));
         directory.put(instance(2000));
@@ -150,11 +149,11 @@
     directory.remove("a", at(seconds(0)));
     CHECK_FALSE(directory.put(instance(1000)));
     CHECK(directory.size() == 0);
-    // The later life itself may come back, as after a gap of the store.
+    // The later instance itself may return, as after an outage of the store.
     CHECK(directory.put(instance(2000)));
 }
 
-TEST_CASE("a box that doesn't know of lives changes none, and what it told gets its life from who does")
+TEST_CASE("a record without a start time changes no instance and gets the start time of a later record")
 {
     EndpointDirectory directory;
     directory.put(instance(1000));
@@ -172,7 +171,7 @@
     CHECK(id_of(other) != without_start);
 }
 
-TEST_CASE("an endpoint that starts again for ever takes a bounded memory")
+TEST_CASE("an endpoint that restarts forever uses bounded memory")
 {
     EndpointDirectory directory;
     constexpr std::uint64_t many = 5000;
--- a/Tests/LibRouting/TestEndpointReports.cpp
+++ b/Tests/LibRouting/TestEndpointReports.cpp
@@ -30,7 +30,7 @@
     return route;
 }
 
-/// A box before two endpoints of a service, with an urgent and a less urgent route.
+/// A box with two endpoints of a service, an urgent route and a less urgent one.
 struct TestBox {
     TestBox()
     {
@@ -60,7 +60,7 @@
         return this->router.place(admitted, {}, {}, now);
     }
 
-    /// Where the request goes; empty if it is refused.
+    /// The endpoint that gets the request; empty if the request is refused.
     std::string endpoint_for(std::string const& path, Instant now)
     {
         auto const decision = this->place(path, now);
@@ -76,7 +76,7 @@
     RequestRouter router { { "hall", { seconds(20), seconds(50) }, {}, {} }, 7 };
 };
 
-/// Requests of a hundred, one each 10 ms, that go to the endpoint.
+/// Number of requests, of a hundred at intervals of 10 ms, that go to the endpoint.
 int sent_in_a_second(TestBox& box, std::string const& name, Instant from)
 {
     int sent = 0;
@@ -87,7 +87,7 @@
 
 }
 
-TEST_CASE("an endpoint that named a limit gets what it takes, and the others get the rest")
+TEST_CASE("an endpoint with a limit gets requests up to the limit, and others get the rest")
 {
     TestBox box;
     REQUIRE(box.limit("a", 1, one_per_second));
@@ -99,8 +99,7 @@
     CHECK(box.endpoint_for("/urgent/", at(seconds(4))) != "");
 }
 
-TEST_CASE(
-    "where all endpoints are at their limit the urgent go first, and refused callers come back at different times")
+TEST_CASE("if all endpoints are at their limit, urgent requests go first and refused clients retry at different times")
 {
     TestBox box;
     box.limit("a", 1, { 10 });
@@ -146,7 +145,7 @@
     CHECK(sent <= 1);
 }
 
-TEST_CASE("an endpoint that says that it leaves gets nothing, at boxes that were told too")
+TEST_CASE("a draining endpoint gets no requests, also from boxes that received a notice")
 {
     TestBox box;
     auto const placed = std::get<Placed>(box.place("/urgent/", at(seconds(0))));
@@ -169,7 +168,7 @@
         CHECK(told.endpoint_for("/urgent/", at(seconds(2))) == other);
 }
 
-/// A box that was told that endpoint "a" leaves, at second 10, while the list could be read.
+/// A box that received a notice at second 10 that endpoint "a" drains, while the endpoint list could be read.
 struct BoxWithDrainingEndpoint : TestBox {
     BoxWithDrainingEndpoint()
     {
@@ -190,23 +189,23 @@
     }
 };
 
-TEST_CASE("an endpoint that came back under its id is used again, with or without a life in its entry")
+TEST_CASE("a restarted endpoint is used again, with or without a start time in its entry")
 {
-    SUBCASE("its entry went in between")
+    SUBCASE("its entry was removed in between")
     {
         BoxWithDrainingEndpoint box;
         box.router.remove_endpoint("a", at(seconds(13)));
         static_cast<void>(box.router.expire_endpoints(at(seconds(13))));
         box.router.put_endpoint(TestBox::record("a"));
         CHECK(box.usable(seconds(14)) == 2);
-        // Late word of the process before.
+        // A late notice of the earlier process.
         CHECK_FALSE(box.router.apply_notice({ { "a", 0 }, 1, { {}, true }, at(seconds(11)) }, at(seconds(14))));
         CHECK(box.usable(seconds(14)) == 2);
-        // The new one leaves too.
+        // The new process drains too.
         CHECK(box.router.apply_notice({ { "a", 0 }, 1, { {}, true }, at(seconds(20)) }, at(seconds(20))));
         CHECK(box.usable(seconds(20)) == 1);
     }
-    SUBCASE("its entry tells another life")
+    SUBCASE("its entry has another start time")
     {
         BoxWithDrainingEndpoint box;
         box.router.put_endpoint(TestBox::record("a", 1000));
@@ -217,7 +216,7 @@
         CHECK_FALSE(box.router.apply_notice({ { "a", 1000 }, 3, { {}, true }, at(seconds(14)) }, at(seconds(14))));
         CHECK(box.usable(seconds(14)) == 2);
     }
-    SUBCASE("at another address")
+    SUBCASE("its entry has another address")
     {
         BoxWithDrainingEndpoint box;
         auto moved = TestBox::record("a");
@@ -226,7 +225,7 @@
         static_cast<void>(box.router.expire_endpoints(at(seconds(14))));
         CHECK(box.usable(seconds(14)) == 2);
     }
-    SUBCASE("its entry never went: the list has it as usual for long enough")
+    SUBCASE("its entry was never removed: it has been listed as not draining for long enough")
     {
         BoxWithDrainingEndpoint box;
         box.read_list(seconds(10), seconds(24));
@@ -236,9 +235,9 @@
     }
 }
 
-TEST_CASE("an endpoint that leaves is not used again for time that passes while the list can't be read")
+TEST_CASE("time during which the list can't be read doesn't count towards using a draining endpoint again")
 {
-    SUBCASE("the store is away")
+    SUBCASE("the store is unavailable")
     {
         BoxWithDrainingEndpoint box;
         CHECK(box.usable(seconds(100)) == 1);
@@ -247,7 +246,7 @@
         box.read_list(seconds(110), seconds(116));
         CHECK(box.usable(seconds(116)) == 2);
     }
-    SUBCASE("the store came back from a copy")
+    SUBCASE("the store was restored from a copy")
     {
         BoxWithDrainingEndpoint box;
         box.read_list(seconds(10), seconds(20));
@@ -255,7 +254,7 @@
         box.read_list(seconds(20), seconds(30));
         CHECK(box.usable(seconds(30)) == 1);
     }
-    SUBCASE("its entry says so meanwhile")
+    SUBCASE("its entry shows that it drains")
     {
         BoxWithDrainingEndpoint box;
         auto leaving = TestBox::record("a");
@@ -266,7 +265,7 @@
     }
 }
 
-TEST_CASE("an endpoint that says again that it leaves is left alone again, and the others are told anew")
+TEST_CASE("an endpoint that reports again that it drains gets no requests, and a new notice is sent")
 {
     BoxWithDrainingEndpoint box;
     box.read_list(seconds(10), seconds(26));
@@ -287,7 +286,7 @@
     CHECK(box.usable(seconds(27)) == 1);
 }
 
-TEST_CASE("another process under the endpoint's id has no limit of the one before")
+TEST_CASE("a restarted endpoint does not have the limit of the previous process")
 {
     TestBox box;
     box.router.put_endpoint(TestBox::record("a", 1000));
@@ -301,7 +300,7 @@
     CHECK(box.router.limited_endpoints() == 0);
 }
 
-TEST_CASE("an answer that comes after its endpoint was forgotten says nothing of another one")
+TEST_CASE("an answer that arrives after its endpoint was removed does not affect another one")
 {
     TestBox box;
     auto const placed = std::get<Placed>(box.place("/urgent/", at(seconds(0))));
@@ -314,7 +313,7 @@
 
 namespace {
 
-/// Sends until the endpoint is chosen, and has it turn a request away for three seconds.
+/// Sends requests until the endpoint is chosen, which then asks for a backoff of three seconds.
 void start_backoff(TestBox& box, std::string const& name, Instant now)
 {
     for (int number = 0; number < 100; ++number) {
@@ -337,7 +336,7 @@
 
 }
 
-TEST_CASE("an endpoint that said when to come back gets nothing until then, the others get all")
+TEST_CASE("an endpoint that is backed off gets no requests, and others get all")
 {
     TestBox box;
     start_backoff(box, "a", at(seconds(0)));
@@ -349,7 +348,7 @@
     CHECK(is_tried);
 }
 
-TEST_CASE("what an endpoint said is kept where no other is left, and callers are told when it is over")
+TEST_CASE("a backoff is kept if no other endpoint is left, and clients are told when to retry")
 {
     TestBox box;
     start_backoff(box, "a", at(seconds(0)));
@@ -368,7 +367,7 @@
     CHECK(box.endpoint_for("/urgent/", at(seconds(3))) == "a");
 }
 
-TEST_CASE("another process under the endpoint's id is not left alone for the one before")
+TEST_CASE("a restarted endpoint does not have the backoff of the previous process")
 {
     TestBox box;
     start_backoff(box, "a", at(seconds(0)));
--- a/Tests/LibRouting/TestEngineSpeed.cpp
+++ b/Tests/LibRouting/TestEngineSpeed.cpp
@@ -12,7 +12,7 @@
 
 using namespace Routing;
 
-/// Engines as a box meets them: most requests wait a little behind others, a few wait long.
+/// Simulated engines: most requests wait briefly behind others, a few wait long.
 struct TrueEngines {
     double tokens_per_millisecond;
     double step_milliseconds;
@@ -44,7 +44,7 @@
 
 }
 
-TEST_CASE("speeds 20 times above and below the prior are learnt within 120 samples, and stay learnt")
+TEST_CASE("speeds 20 times above and below the prior are estimated within 120 samples, and stay so")
 {
     constexpr EngineSpeed prior;
     constexpr int enough_samples = 120;
@@ -62,7 +62,7 @@
     }
 }
 
-TEST_CASE("engines that turn four times slower are noticed within 300 samples and forgiven as soon")
+TEST_CASE("a slowdown by a factor of four is followed within 300 samples, and so is the recovery")
 {
     TrueEngines engines { 40, 6 };
     EngineSpeedEstimate estimate;
@@ -83,7 +83,7 @@
     CHECK(is_near(estimate.speed().step_milliseconds, 6));
 }
 
-TEST_CASE("samples that say nothing leave the estimate as it is")
+TEST_CASE("invalid and uninformative samples leave the estimate unchanged")
 {
     EngineSpeedEstimate estimate;
     auto const before = estimate.speed();
@@ -97,7 +97,7 @@
     CHECK(estimate.speed() == before);
 }
 
-TEST_CASE("one absurd sample among many moves an estimate by less than a tenth")
+TEST_CASE("one absurd sample among many changes an estimate by less than a tenth")
 {
     TrueEngines engines { 40, 6 };
     EngineSpeedEstimate estimate;
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("a box that has seen nothing takes the speeds that others learnt, and drops those of boxes gone silent")
+TEST_CASE("a box without samples uses the speeds of other boxes, and drops those of silent boxes")
 {
     TrueEngines engines { 200, 1.5 };
     EngineSpeedEstimate learnt;
@@ -128,7 +128,7 @@
     CHECK(is_near(fresh.speed().step_milliseconds, 1.5));
     CHECK(fresh.own_speed() == EngineSpeed {});
     CHECK(fresh.samples() == 0);
-    // A box that knows nothing changes nothing.
+    // A report without samples changes nothing.
     fresh.apply_peer(2, { { 1, 1000 }, 0, now });
     CHECK(is_near(fresh.speed().prefill_tokens_per_millisecond, 200));
     fresh.apply_peer(2, { {}, 0, now + std::chrono::seconds(60) });
--- a/Tests/LibRouting/TestPlacement.cpp
+++ b/Tests/LibRouting/TestPlacement.cpp
@@ -12,7 +12,7 @@
 auto const now = Instant {} + seconds(100);
 std::string const own_domain = "hall";
 
-/// Engines of one service and what one box believes of them.
+/// Engines of one service and their load as known to one box.
 struct Engines {
     explicit Engines(int count)
     {
@@ -21,7 +21,7 @@
                 { "i-" + std::to_string(index), "pool", { "10.0.0.1", 80 }, own_domain, 64, false }, {}, false });
     }
 
-    /// The last `limited` endpoints take work now and then only.
+    /// The last `limited` endpoints have a rate limit.
     [[nodiscard]] EndpointId place(Workload const& workload, std::size_t for_answers = 2, std::size_t limited = 0) const
     {
         PlacementCandidates candidates;
@@ -51,13 +51,13 @@
 
 }
 
-TEST_CASE("without endpoints there is no choice")
+TEST_CASE("placement without endpoints chooses none")
 {
     Workload const workload;
     CHECK_FALSE(choose_endpoint({}, {}, { workload, false, 0, own_domain, now, {} }, {}));
 }
 
-TEST_CASE("boxes that know nothing of one another send a subject to the same engine")
+TEST_CASE("boxes send prompts with a common part to the same engine without communication")
 {
     Engines const first(9);
     Engines second(9);
@@ -68,13 +68,13 @@
         CHECK(home == second.place(long_prompt(subject, subject * 1000 + 1)));
         ++homes[home];
     }
-    // Subjects spread over the engines for long prompts.
+    // Homes spread over the engines for long prompts.
     CHECK(homes.size() == 7);
     for (auto const& [engine, subjects] : homes)
         CHECK(subjects >= 5);
 }
 
-TEST_CASE("long answers and long prompts are kept apart, by the number that is asked for")
+TEST_CASE("long answers and long prompts go to separate engines, in the numbers requested")
 {
     Engines const engines(10);
     std::map<EndpointId, int> prompts;
@@ -88,7 +88,7 @@
         CHECK_FALSE(prompts.contains(engine));
 }
 
-TEST_CASE("an engine that takes work at times moves no homes, and gets what the others have no room for")
+TEST_CASE("an engine with a rate limit moves no homes, and gets what others have no room for")
 {
     Engines const without(8);
     Engines engines(9);
@@ -99,17 +99,17 @@
         engines.loads[EndpointId { static_cast<std::uint32_t>(request + 1) }].started(
             Core::RequestId { request }, long_prompt(1, 2), { seconds(1), seconds(1) }, now);
     CHECK(engines.place(long_prompt(100, 100'000), 2, 1) == EndpointId { 9 });
-    // Alone it takes everything.
+    // An endpoint with a rate limit gets all requests if it is the only one.
     CHECK(Engines(1).place(long_prompt(100, 100'000), 0, 1) == EndpointId { 1 });
 }
 
-TEST_CASE("the engines for long answers follow the demand, not every sample of it")
+TEST_CASE("the number of engines for long answers follows the demand, not each sample")
 {
     EngineDemand demand;
     auto moment = now;
     CHECK(demand.engines_for_answers(2, moment) == 0);
     CHECK(demand.engines_for_answers(10, moment) == 2);
-    // The first requests are too few to tell; from then on the same mix changes nothing.
+    // The first requests are too few for a stable share; afterwards a constant mix changes nothing.
     std::size_t changes = 0;
     std::size_t before = 0;
     for (std::uint64_t own = 0; own < 2000; ++own) {
@@ -128,7 +128,7 @@
     CHECK(demand.engines_for_answers(10, moment) >= 6);
 }
 
-TEST_CASE("a division that a relay told goes before the own samples, for a while")
+TEST_CASE("a relay's division overrides the box's own samples until it expires")
 {
     EngineDemand demand;
     for (std::uint64_t own = 0; own < 50; ++own)
@@ -141,7 +141,7 @@
     CHECK(demand.engines_for_answers(10, now + milliseconds(7000)) >= 6);
 }
 
-TEST_CASE("what other boxes have seen counts with the own samples")
+TEST_CASE("reports of other boxes count together with the box's own samples")
 {
     EngineDemand demand;
     demand.add(long_answer(1), now);
@@ -150,7 +150,7 @@
     CHECK(demand.engines_for_answers(10, now) == 3);
 }
 
-TEST_CASE("a subject leaves its home when the home has too much to read, and comes back")
+TEST_CASE("prompts leave their home engine while its backlog is too long, and return afterwards")
 {
     Engines engines(9);
     auto const request = long_prompt(100, 5);
@@ -164,7 +164,7 @@
     CHECK(engines.place(request) == home);
 }
 
-TEST_CASE("a full engine is avoided by what it tells of all boxes together")
+TEST_CASE("an engine that reports that it is full is avoided")
 {
     Engines engines(9);
     auto const engine = engines.place(long_answer(1));
@@ -172,7 +172,7 @@
     CHECK(engines.place(long_answer(1)) != engine);
 }
 
-TEST_CASE("an endpoint that fails a part of its requests is left for one that does not")
+TEST_CASE("an endpoint that fails part of its requests is avoided")
 {
     Engines engines(9);
     auto const engine = engines.place(long_answer(1));
@@ -187,7 +187,7 @@
     CHECK(engines.place(long_answer(1)) != engine);
 }
 
-TEST_CASE("calls of plain services go to the own failure domain until it is busy")
+TEST_CASE("calls to services without engines stay in the failure domain until it is busy")
 {
     std::vector<KnownEndpoint> endpoints {
         { EndpointId { 1 }, { "a", "desk", { "10.0.0.1", 80 }, "other", 6, false }, {}, false },
@@ -205,14 +205,14 @@
     CHECK(place() == EndpointId { 1 });
 }
 
-TEST_CASE("an endpoint that stays silent beyond the expected is avoided before its requests time out")
+TEST_CASE("an endpoint that is silent for longer than expected is avoided before its requests time out")
 {
     EndpointLoad load;
     ExpectedTimes const expected { Duration { 0 }, milliseconds(20) };
     load.started(RequestId { 1 }, {}, expected, now);
     CHECK(load.overdue(now + milliseconds(99)) == Duration { 0 });
     CHECK(load.overdue(now + milliseconds(150)) == milliseconds(50));
-    // Another answer, begun later, shows that the endpoint lives.
+    // Another answer that began later shows that the endpoint is alive.
     load.started(RequestId { 2 }, {}, expected, now + milliseconds(10));
     load.answered(RequestId { 2 }, Duration { 0 }, now + milliseconds(30));
     CHECK(load.overdue(now + milliseconds(150)) == Duration { 0 });
@@ -227,7 +227,7 @@
     CHECK(engines.place(long_answer(1)) != engine);
 }
 
-TEST_CASE("a part that was not used for a while is not counted as kept")
+TEST_CASE("a prompt part that was not used for a while is not assumed to be cached")
 {
     PromptCacheEstimate cache;
     cache.record({ { 1, 100 }, { 2, 100 } }, now);
--- a/Tests/LibRouting/TestRareReports.cpp
+++ b/Tests/LibRouting/TestRareReports.cpp
@@ -15,12 +15,12 @@
 constexpr std::size_t engine_count = 24;
 constexpr unsigned slots = 12;
 constexpr auto answer_time = seconds(2);
-/// Two thirds of what the engines can serve.
+/// Two thirds of the engines' capacity.
 constexpr unsigned requests_per_second = 96;
 constexpr auto report_interval = Core::Duration(seconds(2));
 
-/// Boxes that send short questions to the same engines, each knowing its own and, every 2 s, what the others have
-/// there.
+/// Boxes that send short questions to shared engines. Each knows its own load and gets the load of the other boxes
+/// every 2 s.
 class Boxes {
 public:
     Boxes()
@@ -32,7 +32,7 @@
             this->candidates.push_back(&endpoint);
     }
 
-    /// Requests that reach an engine whose slots are all taken, of those of half a minute.
+    /// Number of requests within half a minute that reach a full engine.
     [[nodiscard]] unsigned run(double compared_share)
     {
         unsigned met_full_engine = 0;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Each box tells the others in its turn.
+    /// Boxes send their reports one after another.
     void send_reports()
     {
         for (; this->now >= this->reports_at; this->reports_at += report_interval / box_count) {
@@ -116,10 +116,9 @@
 
 }
 
-// What callers saw: in a burst of short questions one engine got 102 in a second from 87 boxes while others had room;
-// in the day's first 18 s 634 sends were turned away for want of a slot, and on the whole day 265 callers were refused.
-// All boxes had heard of each other's load up to 2 s ago, and found the same engines the emptiest.
-TEST_CASE("boxes that seldom hear of each other's load don't all send to the engine that was the emptiest then")
+// Guards against all boxes sending to the same engines: with rare load reports they find the same engines the emptiest
+// and keep sending there until the next reports, while other engines have free slots.
+TEST_CASE("boxes with rare load reports don't all send to the engine that was the emptiest")
 {
     Boxes comparing_all;
     auto const with_all = comparing_all.run(1);
@@ -129,7 +128,7 @@
     CHECK(with_few * 3 < with_all);
 }
 
-TEST_CASE("a compared engine is the home of the request's prompt, however few are drawn")
+TEST_CASE("the home of a prompt is always among the compared engines")
 {
     std::vector<KnownEndpoint> endpoints;
     endpoints.reserve(engine_count);
--- a/Tests/LibRouting/TestRateLimits.cpp
+++ b/Tests/LibRouting/TestRateLimits.cpp
@@ -23,7 +23,7 @@
     return names;
 }
 
-/// What all boxes together may send in the slot.
+/// Requests that all boxes together may send in the slot.
 unsigned requests_in_slot(RateSchedule const& schedule, std::uint64_t slot, std::vector<std::string> const& names)
 {
     unsigned all = 0;
@@ -34,7 +34,7 @@
 
 }
 
-TEST_CASE("the requests of a slot are dealt whole, to other boxes each time, and add up to no more than the limit")
+TEST_CASE("the requests of a slot are allotted whole and add up to no more than the limit")
 {
     for (std::size_t const count : { 1, 6, 88, 300 }) {
         auto const names = box_names(count);
@@ -51,7 +51,7 @@
     }
 }
 
-TEST_CASE("each box has its turn at an endpoint that takes little")
+TEST_CASE("each box gets some requests of an endpoint with a low limit")
 {
     auto const names = box_names(6);
     RateSchedule const schedule(1);
@@ -63,21 +63,21 @@
     }
 }
 
-TEST_CASE("an endpoint that takes nothing is asked seldom, since only its answers tell when that ends")
+TEST_CASE("an endpoint with a limit of zero gets few requests, since only its answers show when the limit ends")
 {
     RateSchedule const schedule(0);
     CHECK(schedule.slot_length() == seconds(10));
     CHECK(requests_in_slot(schedule, 7, box_names(6)) == 1);
 }
 
-TEST_CASE("a limit holds until an answer to a request that was sent under it says otherwise")
+TEST_CASE("a limit holds until an answer to a request that was sent under the limit differs")
 {
     EndpointNotices notices;
     CHECK_FALSE(notices.apply_answer(endpoint, instance, { none }, start, start));
     auto const limited = notices.apply_answer(endpoint, instance, { { 2 } }, start, start + seconds(1));
     REQUIRE(limited);
     CHECK(limited->version == 1);
-    // Sent before the limit was known: it may have been answered before it was named.
+    // This request was sent before the limit was known, so its answer may be older than the limit.
     CHECK_FALSE(notices.apply_answer(endpoint, instance, { none }, start + milliseconds(999), start + seconds(2)));
     CHECK(notices.limit_of(endpoint) == RateLimit { 2 });
     CHECK(notices.apply_answer(endpoint, instance, { { 1 } }, start, start + seconds(2))->condition.limit
@@ -90,24 +90,24 @@
     CHECK(notices.limited_count() == 0);
 }
 
-TEST_CASE("what another box told is taken if it is newer, however late it comes")
+TEST_CASE("a notice of another box is applied if it is newer, however late it arrives")
 {
     EndpointNotices notices;
     CHECK(notices.apply(endpoint, { instance, 3, { { 1 } } }, start));
     CHECK_FALSE(notices.apply(endpoint, { instance, 3, { { 1 } } }, start));
     CHECK_FALSE(notices.apply(endpoint, { instance, 2, { none } }, start + seconds(9)));
     CHECK(notices.limit_of(endpoint) == RateLimit { 1 });
-    // Two boxes saw different changes of the same version: the tighter limit is the safer one.
+    // Two boxes saw different changes of the same version: the stricter limit is kept.
     CHECK_FALSE(notices.apply(endpoint, { instance, 3, { { 5 } } }, start));
     CHECK(notices.apply(endpoint, { instance, 3, { { 0.5 } } }, start));
     CHECK(notices.apply(endpoint, { instance, 4, { none } }, start + seconds(1)));
     CHECK(notices.limit_of(endpoint) == none);
-    // An answer that names a limit was given under the old one if its request was sent before the end was known; a box
-    // keeps to it until the next answer.
+    // The request was sent before the end of the limit was known, so its answer may be outdated; the box keeps the
+    // limit until the next answer.
     CHECK(notices.apply_answer(endpoint, instance, { { 1 } }, start, start + seconds(2))->version == 5);
 }
 
-TEST_CASE("the end of a limit is told on for a while, a limit for as long as it holds")
+TEST_CASE("a limit is resent while it holds, and its end for a while")
 {
     EndpointNotices notices;
     notices.apply(endpoint, { instance, 1, { { 1 } } }, start);
@@ -117,7 +117,7 @@
     CHECK(notices.active(start + seconds(3640)).empty());
 }
 
-TEST_CASE("a box sends its part of a slot and no more, and keeps it for the most urgent requests where these need it")
+TEST_CASE("a box sends no more than its share of a slot, and reserves it for high priority as needed")
 {
     constexpr SharedMicroseconds slot = 1'000'000;
     constexpr SharedMicroseconds late = 600'000;
@@ -125,7 +125,7 @@
     CHECK(notices.may_send(endpoint, SendPriority::Low, slot_start));
     CHECK_FALSE(notices.count_send(endpoint, slot_start));
     notices.apply(endpoint, { instance, 1, { { 10 } } }, start);
-    // Nobody urgent has asked, so less urgent requests may use it all.
+    // No request of high priority has asked, so others may use the whole share.
     int sent = 0;
     while (notices.may_send(endpoint, SendPriority::Low, slot_start) && sent < 100) {
         notices.count_send(endpoint, slot_start);
@@ -134,11 +134,11 @@
     CHECK(sent == 9);
     for (int request = 0; request < 20; ++request)
         CHECK_FALSE(notices.may_send(endpoint, SendPriority::High, slot_start + late));
-    // More urgent ones asked than there is room for: the first half of the next slot is theirs.
+    // More high-priority requests asked than the share allows, so the first half of the next slot is reserved for them.
     CHECK_FALSE(notices.may_send(endpoint, SendPriority::Low, slot_start + slot));
     CHECK(notices.may_send(endpoint, SendPriority::High, slot_start + slot));
     CHECK(notices.may_send(endpoint, SendPriority::Low, slot_start + slot + late));
-    // One asked then, so one is kept.
+    // One asked in that slot, so one is reserved.
     int sent_beside = 0;
     while (notices.may_send(endpoint, SendPriority::Low, slot_start + 2 * slot) && sent_beside < 100) {
         notices.count_send(endpoint, slot_start + 2 * slot);
@@ -147,7 +147,7 @@
     CHECK(sent_beside == 8);
 }
 
-TEST_CASE("callers that find no room come back spread over time, the most urgent ones first")
+TEST_CASE("clients refused at the limit retry spread over time, the most urgent ones first")
 {
     constexpr Duration slot = seconds(1);
     CHECK(retry_after_limit(slot, 0, 0) == milliseconds(500));
@@ -157,7 +157,7 @@
     CHECK(retry_after_limit(slot, 1000, 0) == retry_after_limit(slot, 3, 0));
 }
 
-TEST_CASE("an endpoint gets no more than its limit from any number of boxes that start, are lost and disagree on time")
+TEST_CASE("an endpoint's limit holds for any number of boxes that restart, fail and have wrong clocks")
 {
     using namespace RateLimitPlay;
     for (std::size_t const boxes : { 1, 6, 88, 300 }) {
@@ -173,7 +173,7 @@
     }
 }
 
-TEST_CASE("boxes use most of what an endpoint takes, also after some of them were lost")
+TEST_CASE("boxes use most of an endpoint's limit, also after some of them failed")
 {
     using namespace RateLimitPlay;
     for (std::size_t const boxes : { 6, 88, 300 }) {
@@ -183,7 +183,7 @@
     }
 }
 
-TEST_CASE("the play shows ways that break the limit")
+TEST_CASE("the simulation shows that other strategies exceed the limit")
 {
     using namespace RateLimitPlay;
     CHECK(Simulation({ 6, 1, 5, IgnoredLimit {}, 1 }).run().most_in_window > allowed(1));
--- a/Tests/LibRouting/TestRequestRouter.cpp
+++ b/Tests/LibRouting/TestRequestRouter.cpp
@@ -68,7 +68,7 @@
 
 }
 
-TEST_CASE("a box without a configuration says that it can't tell yet")
+TEST_CASE("a box without a configuration refuses requests with a time to retry")
 {
     RequestRouter router({}, 1);
     auto const decision = router.admit(request("/a/x", "k"), at(seconds(0)));
@@ -77,7 +77,7 @@
     CHECK(std::get<Rejected>(decision).retry_after.has_value());
 }
 
-TEST_CASE("an unknown route or key is refused for good only while the configuration is fresh")
+TEST_CASE("an unknown route or key is refused permanently only while the configuration is fresh")
 {
     Box const box;
     CHECK(box.refusal(request("/a/x", "k"), at(seconds(1))) == Reason::None);
@@ -88,7 +88,7 @@
     CHECK(box.refusal(request("/a/x", "k"), at(milliseconds(3100))) == Reason::None);
 }
 
-TEST_CASE("a key that may have been taken away is not served, a public route is")
+TEST_CASE("a key that may have been revoked is not served, but a public route is")
 {
     Box const box;
     CHECK(box.refusal(request("/a/x", "k"), at(milliseconds(4400))) == Reason::None);
@@ -100,13 +100,10 @@
     CHECK(box.refusal(request("/a/x", "k"), at(milliseconds(4700))) == Reason::KeyUnknown);
 }
 
-// What users saw: a box served a public route 3.1 s after the store had confirmed the version that dropped it. Order of
-// events: another box had told it that a newer version exists; the box was reading that, for longer than its lease;
-// with the lease gone it refused what needs a key and went on with public routes by the version that it had. Cause: a
-// box that reaches nobody and a box that knows that it is behind were treated alike. Evidence: the box's log has
-// not_ready with an age of the configuration of 4.6 s before the request, and its relay had the newer version 4 s
-// before.
-TEST_CASE("a box that knows of a newer configuration refuses nothing for good, and past the bound serves nothing")
+// Guards against serving a public route that a newer version has removed. The box has been notified of the newer
+// version and is still reading it when its lease expires; it must not go on with public routes by the old version.
+TEST_CASE(
+    "a box that knows of a newer configuration refuses nothing permanently, and serves nothing once it is overdue")
 {
     Box const box;
     box.router->note_configuration(2, at(milliseconds(500)), at(milliseconds(500)));
@@ -126,9 +123,9 @@
     CHECK(box.refusal(request("/b/x", "k"), at(milliseconds(4600))) == Reason::RouteUnknown);
 }
 
-TEST_CASE("a box that was told of a version that others have had for long serves nothing by an older one, read or not")
+TEST_CASE("a box that is notified of an overdue version serves nothing by an older one")
 {
-    SUBCASE("told after it has read the older one")
+    SUBCASE("notified after it has read the older version")
     {
         Box const box;
         box.router->note_overdue_configuration(2, at(milliseconds(500)));
@@ -137,7 +134,7 @@
         box.router->offer_configuration(configuration(2, { "k" }), at(milliseconds(600)));
         CHECK(box.refusal(request("/a/x", "k"), at(milliseconds(700))) == Reason::None);
     }
-    SUBCASE("told before it has read any")
+    SUBCASE("notified before it has read any version")
     {
         RequestRouter router({ "hall", { seconds(2), seconds(5) }, {}, {} }, 7);
         router.note_overdue_configuration(2, at(seconds(0)));
@@ -148,7 +145,7 @@
     }
 }
 
-TEST_CASE("a request admitted before the lease ran out is not sent after it did")
+TEST_CASE("a request that was admitted before the lease expired is not sent afterwards")
 {
     Box const box;
     auto const admitted = std::get<Admitted>(box.router->admit(request("/a/x", "k"), at(milliseconds(4400))));
@@ -158,7 +155,7 @@
     CHECK(std::get<Rejected>(late).reason == Reason::ConfigurationExpired);
 }
 
-TEST_CASE("the shorter of patience and timeout ends a request")
+TEST_CASE("a request expires by the shorter of patience and timeout")
 {
     Box const box;
     auto const keyed = std::get<Admitted>(box.router->admit(request("/a/x", "k"), at(seconds(0))));
@@ -173,7 +170,7 @@
     CHECK(open.expiry == Reason::RouteTimeoutPassed);
 }
 
-TEST_CASE("requests rank by their route's priority first, then by their account's")
+TEST_CASE("urgency follows the priority of the route first, then that of the account")
 {
     auto const rank = [](std::optional<unsigned> account, unsigned of_route) {
         Route route;
@@ -181,22 +178,22 @@
         ClientAccount const holder { "a", {}, account };
         return urgency_of(route, &holder);
     };
-    // Accounts alike: the route decides.
+    // Equal account priorities: the route decides.
     CHECK(rank(1, 0) < rank(1, 1));
     CHECK(rank(1, 1) < rank(1, 2));
-    // The route's priority goes first, whatever the accounts.
+    // The route's priority comes first for all accounts.
     CHECK(rank(2, 0) < rank(0, 1));
     CHECK(rank(2, 1) < rank(0, 2));
-    // Routes alike: the account decides.
+    // Equal route priorities: the account decides.
     CHECK(rank(0, 1) < rank(1, 1));
     CHECK(rank(1, 1) < rank(2, 1));
-    // Accounts without one stand in the middle.
+    // Accounts without a priority rank in the middle.
     CHECK(rank(std::nullopt, 1) == rank(1, 1));
     CHECK(urgency_of(Route {}, nullptr) == rank(1, 0));
     CHECK(rank(50, 50) <= 9);
 }
 
-TEST_CASE("a second endpoint is another one, and there is none after the last")
+TEST_CASE("a retry goes to another endpoint, and there is none after the last")
 {
     Box const box;
     auto const admitted = std::get<Admitted>(box.router->admit(request("/a/x", "k"), at(seconds(0))));
@@ -213,7 +210,7 @@
     CHECK(std::get<Rejected>(last).reason == Reason::NoEndpoint);
 }
 
-TEST_CASE("an endpoint that fails again and again is left alone, but not when it is the last")
+TEST_CASE("an endpoint that fails repeatedly is avoided unless it is the last one")
 {
     Box const box;
     auto const admitted = std::get<Admitted>(box.router->admit(request("/a/x", "k"), at(seconds(0))));
@@ -229,7 +226,7 @@
     CHECK(last.choice.endpoint == first.choice.endpoint);
 }
 
-TEST_CASE("an attempt that ends after its endpoint is gone leaves nothing behind")
+TEST_CASE("an attempt that ends after its endpoint was removed leaves no state behind")
 {
     Box const box;
     auto const admitted = std::get<Admitted>(box.router->admit(request("/a/x", "k"), at(seconds(0))));
@@ -241,7 +238,7 @@
     CHECK(box.router->endpoint_count() == 1);
 }
 
-TEST_CASE("requests divide over services by their weights")
+TEST_CASE("requests are divided among services by weight")
 {
     Configuration contents;
     contents.version = 1;
@@ -257,7 +254,7 @@
     CHECK(drawn["none"] == 0);
 }
 
-TEST_CASE("a box goes by what other boxes tell of their load, in place of what they told before, for a while")
+TEST_CASE("a load report of another box replaces its earlier one and expires")
 {
     Box const box;
     auto const place = [&](Instant now) {
@@ -269,19 +266,19 @@
     auto const second = first == "a" ? "b" : "a";
     box.router->apply_load_report(1, { { { first, Duration { 0 }, 6 } }, {} }, at(seconds(0)));
     CHECK(place(at(milliseconds(10))) == second);
-    // Another box changes nothing of what the first one told; its own next report does.
+    // A report replaces only the earlier report of the same box.
     box.router->apply_load_report(2, { { { second, Duration { 0 }, 1 } }, {} }, at(milliseconds(20)));
     CHECK(place(at(milliseconds(30))) == second);
     box.router->apply_load_report(1, {}, at(milliseconds(40)));
     CHECK(place(at(milliseconds(50))) == first);
-    // A report ages out, and one of an endpoint that this box does not know is no matter.
+    // Reports expire, and unknown endpoints in a report are ignored.
     box.router->apply_load_report(
         1, { { { first, Duration { 0 }, 6 }, { "gone", seconds(9), 9 } }, {} }, at(seconds(1)));
     CHECK(place(at(milliseconds(1010))) == second);
     CHECK(place(at(milliseconds(3600))) == first);
 }
 
-TEST_CASE("a box tells what it has at endpoints and nothing of those where it has nothing")
+TEST_CASE("a load report lists only endpoints with requests of the box")
 {
     Box const box;
     CHECK(box.router->load_report(at(seconds(0))).endpoints.empty());
@@ -296,8 +293,8 @@
     CHECK(box.router->load_report(at(milliseconds(20))).endpoints.empty());
 }
 
-// The bound on applying a change is 2 s here, and nothing says that keys must be refused within a time.
-TEST_CASE("a box that has known for long of a newer configuration doesn't serve by its own where no key can be revoked")
+// `apply_within` is 2 s here and `revoke_within` is unset.
+TEST_CASE("a box doesn't serve by an overdue configuration, also without a revocation limit")
 {
     RouterSettings settings;
     settings.lease = { std::chrono::seconds(2), std::nullopt };
--- a/Tests/LibRouting/TestRetryAllowance.cpp
+++ b/Tests/LibRouting/TestRetryAllowance.cpp
@@ -18,7 +18,7 @@
 
 }
 
-TEST_CASE("boxes that do not talk stay inside the budget that they share, in every window")
+TEST_CASE("boxes stay within their shared retry budget in every window without communication")
 {
     constexpr int boxes = 7;
     RetryBounds const bounds { 0.2, seconds(10), 52 };
@@ -28,7 +28,7 @@
     std::vector<Instant> retries;
     auto now = Instant {} + seconds(1);
     for (int step = 0; step < 20000; ++step) {
-        // Traffic comes in waves, so that a window of few requests follows one of many.
+        // Traffic varies, so that a window with few requests follows one with many.
         now += milliseconds(step / 2000 % 2 == 0 ? 2 : 40);
         auto& budget = budgets[random(boxes)];
         budget.request_sent(now);
@@ -47,7 +47,7 @@
     CHECK(!retries.empty());
 }
 
-TEST_CASE("a box without requests may repeat little, and again once the window has passed")
+TEST_CASE("a box without requests may retry little, and again once the window has passed")
 {
     RetryBudget budget({ 0.2, seconds(10), 50 });
     auto const start = Instant {} + seconds(100);
--- a/Tests/LibRouting/TestTurnedAway.cpp
+++ b/Tests/LibRouting/TestTurnedAway.cpp
@@ -19,8 +19,8 @@
     return Instant {} + seconds(100) + since_start;
 }
 
-/// Callers who try once each, before a service of nine endpoints some of which turn away nine requests in ten and name
-/// no time to come back.
+/// Clients without retries at a service of nine endpoints. Some endpoints refuse nine requests in ten without a time to
+/// retry.
 class Simulation {
 public:
     explicit Simulation(std::uint64_t seed)
@@ -45,7 +45,7 @@
             this->router.put_endpoint({ std::to_string(number), "desk", { "10.0.0.1", 80 }, "hall", 6, false });
     }
 
-    /// The part of the requests that is turned away while so many endpoints do so.
+    /// The fraction of requests that is refused while this many endpoints are overloaded.
     double turned_away_share(int overloaded, Duration from, Duration until)
     {
         int requests = 0;
@@ -58,7 +58,7 @@
         return static_cast<double>(refused) / requests;
     }
 
-    /// Requests that these endpoints get in the time.
+    /// Number of requests that the first `endpoints` endpoints get.
     int requests_to(int endpoints, Duration from, Duration until)
     {
         this->sent_to.clear();
@@ -108,7 +108,7 @@
 
 }
 
-TEST_CASE("endpoints that go on turning requests away are tried seldom, and used again when they are well")
+TEST_CASE("endpoints that keep refusing requests get few of them, and are used again when they recover")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
--- a/Tests/LibRouting/TestWaitLimit.cpp
+++ b/Tests/LibRouting/TestWaitLimit.cpp
@@ -11,7 +11,7 @@
 
 auto const now = Instant {} + seconds(100);
 
-/// A box before two engines; another box tells what is queued there.
+/// A box with two engines; another box reports the queues there.
 struct Box {
     explicit Box(Duration goal, unsigned priority = 0)
     {
@@ -60,7 +60,7 @@
 
 }
 
-TEST_CASE("a request is refused where even the best engine would begin too late, with when to come back")
+TEST_CASE("a request that even the best engine would begin too late is refused with a time to retry")
 {
     Box box(milliseconds(600));
     box.queue(seconds(2), milliseconds(100));
@@ -76,19 +76,19 @@
     CHECK(*refused->retry_after <= milliseconds(2000));
 }
 
-TEST_CASE("a long prompt waits less than a short one, and a very long one is not refused for a little queue")
+TEST_CASE("a long prompt may wait less than a short one, but a very long one is not refused for a short queue")
 {
     Box box(milliseconds(600));
     box.queue(milliseconds(250), milliseconds(250));
     CHECK(box.takes(1000));
-    // Takes 200 ms to read at the speeds assumed.
+    // Reading takes 200 ms at the default speed.
     CHECK_FALSE(box.takes(10'000));
     box.queue(milliseconds(140), milliseconds(140));
     CHECK(box.takes(10'000));
     CHECK(box.takes(60'000));
 }
 
-TEST_CASE("an idle engine takes anything, a route without a goal has no limit, and a retry is not refused for the wait")
+TEST_CASE("there is no wait limit at an idle engine, on a route without a goal and for a retry")
 {
     Box box(milliseconds(600));
     CHECK(box.takes(100'000));
@@ -99,7 +99,7 @@
     CHECK(std::holds_alternative<Placed>(box.place(1000, { EndpointId { 1 } })));
 }
 
-TEST_CASE("what is urgent is not refused while something less urgent is taken")
+TEST_CASE("an urgent request is not refused while a less urgent one is accepted")
 {
     for (auto const wait : { milliseconds(100), milliseconds(400), milliseconds(700), milliseconds(1500) }) {
         CAPTURE(wait.count());
@@ -111,7 +111,7 @@
         auto const takes_less_urgent = less_urgent.takes(9200);
         CHECK((takes_urgent || !takes_less_urgent));
     }
-    // The route with the longer goal alone keeps the urgent one from being refused.
+    // Only the less urgent route with the longer goal keeps the urgent route from being refused.
     Box urgent(milliseconds(500), 1);
     urgent.queue(milliseconds(600), milliseconds(600));
     CHECK(urgent.takes(2400));
@@ -119,7 +119,7 @@
     CHECK_FALSE(urgent.takes(2400));
 }
 
-TEST_CASE("callers that are refused together don't come back together")
+TEST_CASE("clients that are refused together retry at different times")
 {
     Box box(milliseconds(600));
     box.queue(seconds(2), seconds(2));
