--- a/Tests/LibRouting/TestCrashLedger.cpp
+++ b/Tests/LibRouting/TestCrashLedger.cpp
@@ -339,7 +339,7 @@
     void run_engine(std::size_t index)
     {
         auto& engine = this->engines[index];
-        EndpointInstance const life { "e" + std::to_string(index), 0 };
+        EndpointInstance const instance { "e" + std::to_string(index), 0 };
         for (auto& run : engine.runs) {
             if (run.is_probe && this->now - run.probe_sent_at >= probe_interval)
                 this->send_probe(run);
@@ -347,7 +347,7 @@
         std::erase_if(engine.runs, [&](auto const& run) {
             if (run.ends_at > this->now)
                 return false;
-            this->ledgers[run.box].endpoint_answered(life, { engine.up_at, run.began });
+            this->ledgers[run.box].endpoint_answered(instance, { engine.up_at, run.began });
             this->send(run, RunSucceeded {});
             return true;
         });
@@ -358,7 +358,7 @@
         engine.up_at = this->now + seconds(3);
         auto const broken = std::exchange(engine.runs, {});
         for (auto const& run : broken) {
-            this->send(run, CrashReport { run.request, life, run.known + 1 });
+            this->send(run, CrashReport { run.request, instance, run.known + 1 });
             if (run.is_probe)
                 this->send(run, ProbeEnded {});
             if (run.tries_left > 0)
--- a/Tests/LibRouting/TestEndpointReports.cpp
+++ b/Tests/LibRouting/TestEndpointReports.cpp
@@ -161,11 +161,11 @@
     for (int number = 0; number < 20; ++number)
         CHECK(box.endpoint_for("/urgent/", at(seconds(2))) == other);
 
-    TestBox told;
-    CHECK(told.router.apply_notice(*notice, at(seconds(1))));
-    CHECK_FALSE(told.router.apply_notice(*notice, at(seconds(1))));
+    TestBox notified;
+    CHECK(notified.router.apply_notice(*notice, at(seconds(1))));
+    CHECK_FALSE(notified.router.apply_notice(*notice, at(seconds(1))));
     for (int number = 0; number < 20; ++number)
-        CHECK(told.endpoint_for("/urgent/", at(seconds(2))) == other);
+        CHECK(notified.endpoint_for("/urgent/", at(seconds(2))) == other);
 }
 
 /// A box that received a notice at second 10 that endpoint "a" drains, while the endpoint list could be read.
--- a/Tests/LibRouting/TestRareReports.cpp
+++ b/Tests/LibRouting/TestRareReports.cpp
@@ -142,7 +142,7 @@
     Workload const review { { { 1, 2500 }, { 7, 3800 }, { 8, 2900 } }, 9200, 54 };
     pcg32 random(1);
     std::optional<EndpointId> home;
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
         PlacementQuery const query { review, true, 0, own_domain, Instant { seconds(100) }, {}, 0.05, random() };
         auto const choice = choose_endpoint({ candidates }, {}, query, {});
         REQUIRE(choice);
--- a/Tests/LibRouting/TestWaitLimit.cpp
+++ b/Tests/LibRouting/TestWaitLimit.cpp
@@ -124,7 +124,7 @@
     Box box(milliseconds(600));
     box.queue(seconds(2), seconds(2));
     std::set<Duration> times;
-    for (int caller = 0; caller < 50; ++caller) {
+    for (int client = 0; client < 50; ++client) {
         auto const decision = box.place(1000);
         times.insert(*std::get<Rejected>(decision).retry_after);
     }
