--- a/Benchmarks/BenchPlacement.cpp
+++ b/Benchmarks/BenchPlacement.cpp
@@ -1,4 +1,4 @@
-// How long a box takes to choose an engine, by the number of engines, where it compares all and where it compares some.
+// Time to choose an engine by the number of engines, comparing all of them or a sample.
 
 #include <LibRouting/Placement.h>
 #include <benchmark/benchmark.h>
@@ -9,7 +9,7 @@
 
 std::string const own_domain = "hall";
 
-/// Engines of one service, of which this box knows no load.
+/// Engines of one service without known load.
 struct Engines {
     explicit Engines(std::size_t count)
     {
@@ -32,10 +32,10 @@
     Engines const engines(count);
     LoadTable const loads;
     Workload const review { { { 1, 2500 }, { 7, 3800 }, { 8, 2900 } }, 9200, 54 };
-    std::uint64_t draw = 0;
+    std::uint64_t sample_seed = 0;
     while (state.KeepRunning()) {
         PlacementQuery const query { review, true, count / 4, own_domain, Instant { std::chrono::seconds(100) }, {},
-            compared_share, ++draw };
+            compared_share, ++sample_seed };
         benchmark::DoNotOptimize(choose_endpoint({ engines.candidates }, loads, query, {}));
     }
 }
--- a/Libraries/LibRouting/FadingSum.h
+++ b/Libraries/LibRouting/DecayingSum.h
@@ -6,10 +6,10 @@
 
 namespace Routing {
 
-/// A sum in which old contributions count for less and less: halved with every half-life.
-class FadingSum {
+/// A sum whose contributions decay exponentially with the given half-life.
+class DecayingSum {
 public:
-    explicit FadingSum(Core::Duration half_life)
+    explicit DecayingSum(Core::Duration half_life)
         : half_life(half_life)
     {
     }
--- a/Libraries/LibRouting/Placement.cpp
+++ b/Libraries/LibRouting/Placement.cpp
@@ -9,14 +9,16 @@
 
 namespace {
 
-/// The same weight on every box, so that all boxes send requests about one thing to the same endpoint without talking.
-std::uint64_t rendezvous_weight(std::uint64_t subject, std::string const& incarnation)
+/// Rendezvous hashing: the weight is equal on every box, so all boxes send requests with a common prompt part to the
+/// same endpoint without communication.
+std::uint64_t rendezvous_weight(std::uint64_t home_key, std::string const& incarnation)
 {
-    return XXH3_64bits_withSeed(incarnation.data(), incarnation.size(), subject);
+    return XXH3_64bits_withSeed(incarnation.data(), incarnation.size(), home_key);
 }
 
-/// The last part that other requests share too; the very last one belongs to the request or its session.
-std::optional<std::uint64_t> shared_subject(Workload const& workload)
+/// The prompt part that determines the home: the last one that other requests share. The very last part belongs to the
+/// request or its session.
+std::optional<std::uint64_t> home_key_of(Workload const& workload)
 {
     if (workload.prompt.empty())
         return {};
@@ -26,14 +28,14 @@
 
 using Endpoints = std::vector<KnownEndpoint const*>;
 
-/// The endpoints of a service by whether they are meant for a request, each part in the order given.
-struct Sides {
-    Endpoints meant;
+/// The endpoints of a service, divided by whether they are preferred for a request, each in the given order.
+struct EngineGroups {
+    Endpoints preferred;
     Endpoints others;
 };
 
-/// Engines meant for a request: the first ones of a common order for long answers, the others for long prompts.
-Sides divide(Endpoints const& candidates, PlacementQuery const& query)
+/// Engines preferred for a request: the first ones in a common order for long answers, the others for long prompts.
+EngineGroups group_by_work_kind(Endpoints const& candidates, PlacementQuery const& query)
 {
     auto const for_answers = query.engines_for_answers;
     if (!query.is_engine || for_answers == 0 || for_answers >= candidates.size())
@@ -46,27 +48,28 @@
     auto const last_for_answers = ordered.begin() + static_cast<std::ptrdiff_t>(for_answers) - 1;
     std::ranges::nth_element(ordered, last_for_answers);
     bool const long_answer = work_kind(query.workload) == WorkKind::LongAnswer;
-    Sides sides;
+    EngineGroups groups;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         bool const is_for_answers = weights[index] <= *last_for_answers;
-        (is_for_answers == long_answer ? sides.meant : sides.others).push_back(candidates[index]);
+        (is_for_answers == long_answer ? groups.preferred : groups.others).push_back(candidates[index]);
     }
-    return sides;
+    return groups;
 }
 
-KnownEndpoint const* home_of(Endpoints const& meant, std::uint64_t subject)
+KnownEndpoint const* home_of(Endpoints const& preferred, std::uint64_t home_key)
 {
-    return *std::ranges::max_element(meant, {},
-        [&](KnownEndpoint const* endpoint) { return rendezvous_weight(subject, endpoint->record.incarnation); });
+    return *std::ranges::max_element(preferred, {},
+        [&](KnownEndpoint const* endpoint) { return rendezvous_weight(home_key, endpoint->record.incarnation); });
 }
 
-/// Some of the endpoints by lot: the given part of them, two at least.
-Endpoints drawn(Endpoints endpoints, double share, pcg32& random)
+/// A random sample of the given fraction of the endpoints, at least two of them.
+Endpoints random_sample(Endpoints endpoints, double share, pcg32& random)
 {
-    /// Two by lot spread load nearly as well as all, when what is known of it is old.
-    constexpr std::size_t fewest = 2;
+    /// With outdated load reports, choosing the better of two random endpoints spreads load nearly as well as comparing
+    /// all.
+    constexpr std::size_t min_count = 2;
     auto const part = static_cast<std::size_t>(std::ceil(static_cast<double>(endpoints.size()) * share));
-    auto const count = std::max(fewest, part);
+    auto const count = std::max(min_count, part);
     if (count >= endpoints.size())
         return endpoints;
     for (std::size_t index = 0; index < count; ++index) {
@@ -77,25 +80,25 @@
     return endpoints;
 }
 
-/// The endpoints that a box compares: all, or the home and some of each side.
-Sides compared(Sides sides, KnownEndpoint const* home, PlacementQuery const& query)
+/// The endpoints that a box compares: all, or the home and a sample of each group.
+EngineGroups sample_groups(EngineGroups groups, KnownEndpoint const* home, PlacementQuery const& query)
 {
     if (!query.is_engine || query.compared_share >= 1)
-        return sides;
-    pcg32 random(query.draw);
-    Sides chosen { drawn(std::move(sides.meant), query.compared_share, random),
-        drawn(std::move(sides.others), query.compared_share, random) };
-    if (home != nullptr && std::ranges::find(chosen.meant, home) == chosen.meant.end())
-        chosen.meant.push_back(home);
+        return groups;
+    pcg32 random(query.sample_seed);
+    EngineGroups chosen { random_sample(std::move(groups.preferred), query.compared_share, random),
+        random_sample(std::move(groups.others), query.compared_share, random) };
+    if (home != nullptr && std::ranges::find(chosen.preferred, home) == chosen.preferred.end())
+        chosen.preferred.push_back(home);
     return chosen;
 }
 
-/// What an engine has to read of a prompt, by what it is believed to keep.
+/// Prompt tokens that an engine has to read, by the estimate of its cache.
 struct TokensToRead {
     double all { 0 };
-    /// Those of parts that other requests share.
+    /// Tokens of parts that other requests share.
     double shared { 0 };
-    /// All, if what precedes the last part is certainly kept or short beside it; else 0.
+    /// Equal to `all` if the shared parts are certainly cached or short compared to it; otherwise 0.
     double certain { 0 };
 };
 
@@ -105,26 +108,26 @@
     TokensToRead to_read { static_cast<double>(workload.prompt_tokens), 0, 0 };
     for (std::size_t index = 0; index + 1 < workload.prompt.size(); ++index)
         to_read.shared += workload.prompt[index].tokens;
-    // NOTE: A kept part saves nothing unless every part before it is kept too.
+    // NOTE: A cached part saves nothing unless all parts before it are cached too.
     for (std::size_t index = 0; index < workload.prompt.size(); ++index) {
         auto const& part = workload.prompt[index];
         bool const is_shared = index + 1 < workload.prompt.size();
-        bool const is_held = load.memory().holds(part.id, query.now);
-        if (!is_held && !(is_home && is_shared))
+        bool const is_cached = load.prompt_cache().contains(part.id, query.now);
+        if (!is_cached && !(is_home && is_shared))
             break;
-        auto const kept = part.tokens * (is_held ? 1 : model.kept_at_home);
-        to_read.all -= kept;
-        to_read.shared -= is_shared ? kept : 0;
+        auto const cached = part.tokens * (is_cached ? 1 : model.cached_at_home);
+        to_read.all -= cached;
+        to_read.shared -= is_shared ? cached : 0;
     }
     to_read.all = std::max(0.0, to_read.all);
     to_read.shared = std::max(0.0, to_read.shared);
-    /// Part of the tokens to read that another box may have made the engine keep without a speed being far off.
-    constexpr double most_uncertain = 0.2;
-    to_read.certain = to_read.shared <= to_read.all * most_uncertain ? to_read.all : 0;
+    /// Fraction of the tokens to read that may be cached through other boxes without distorting a speed sample.
+    constexpr double max_uncertain_share = 0.2;
+    to_read.certain = to_read.shared <= to_read.all * max_uncertain_share ? to_read.all : 0;
     return to_read;
 }
 
-/// A prediction and what it costs to choose it, in milliseconds.
+/// A prediction and the cost of choosing it, in milliseconds.
 struct Candidate {
     PlacementChoice choice;
     double cost { 0 };
@@ -138,7 +141,7 @@
     auto const backlog = Core::to_milliseconds(load.prefill_backlog(query.now));
     auto const running = load.running(query.now);
     auto const first_piece = backlog + prefill + query.speed.step_milliseconds;
-    auto const read_again = query.speed.reading_milliseconds(to_read.shared) * model.read_again_factor;
+    auto const read_again = query.speed.reading_milliseconds(to_read.shared) * model.reread_factor;
     auto const occupancy = running / std::max(1U, endpoint.record.slots);
     auto const congestion = std::max(0.0, 2 * occupancy - 1) * model.full_engine_milliseconds;
     return { { endpoint.id, Core::from_seconds(prefill / 1000), Core::from_seconds(first_piece / 1000),
@@ -152,10 +155,10 @@
 {
     auto const running = load.running(query.now);
     auto const free_slots = static_cast<double>(endpoint.record.slots) - running;
-    auto const turns = free_slots >= 1 ? 0.0 : (1 - free_slots) / std::max(1U, endpoint.record.slots);
-    // NOTE: Among endpoints with free slots the emptier one is taken, since peers send there too.
+    auto const queue_rounds = free_slots >= 1 ? 0.0 : (1 - free_slots) / std::max(1U, endpoint.record.slots);
+    // NOTE: Among endpoints with free slots the least busy one is chosen, since other boxes send requests there too.
     auto const busy_share = running / std::max(1U, endpoint.record.slots);
-    auto const expected = model.plain_call_milliseconds * (1 + turns + busy_share / 2);
+    auto const expected = model.plain_call_milliseconds * (1 + queue_rounds + busy_share / 2);
     return { { endpoint.id, Duration { 0 }, Core::from_seconds(expected / 1000),
                  { expected, 0, 0, 0, running, 0, false, 0, {} } },
         expected };
@@ -170,9 +173,9 @@
         return {};
     static EndpointLoad const unknown_load;
     bool const has_usual = !candidates.usual.empty();
-    auto sides = divide(has_usual ? candidates.usual : candidates.limited, query);
-    auto const subject = query.is_engine ? shared_subject(query.workload) : std::nullopt;
-    auto const* const home = subject ? home_of(sides.meant, *subject) : nullptr;
+    auto groups = group_by_work_kind(has_usual ? candidates.usual : candidates.limited, query);
+    auto const home_key = query.is_engine ? home_key_of(query.workload) : std::nullopt;
+    auto const* const home = home_key ? home_of(groups.preferred, *home_key) : nullptr;
     std::optional<Candidate> best;
     auto const consider = [&](KnownEndpoint const* endpoint, double extra_cost, PlacementModel const& model) {
         auto const found = loads.find(endpoint->id);
@@ -187,20 +190,20 @@
         if (!best || candidate.cost < best->cost)
             best = candidate;
     };
-    auto const chosen = compared(std::move(sides), home, query);
-    for (auto const* endpoint : chosen.meant)
+    auto const chosen = sample_groups(std::move(groups), home, query);
+    for (auto const* endpoint : chosen.preferred)
         consider(endpoint, 0, model);
     for (auto const* endpoint : chosen.others)
-        consider(endpoint, model.wrong_side_milliseconds, model);
+        consider(endpoint, model.wrong_group_milliseconds, model);
     if (has_usual) {
-        auto of_turn = model;
-        of_turn.read_again_factor = model.limited_read_again_factor;
+        auto limited_model = model;
+        limited_model.reread_factor = model.limited_reread_factor;
         for (auto const* endpoint : candidates.limited)
-            consider(endpoint, -model.limited_gain_milliseconds, of_turn);
+            consider(endpoint, -model.limited_bonus_milliseconds, limited_model);
     }
     best->choice.figures.candidates = candidates.usual.size() + candidates.limited.size();
     best->choice.figures.speed = query.speed;
-    best->choice.figures.subject = subject.value_or(0);
+    best->choice.figures.home_key = home_key.value_or(0);
     return best->choice;
 }
 
--- a/Tests/LibRouting/TestRareReports.cpp
+++ b/Tests/LibRouting/TestRareReports.cpp
@@ -15,12 +15,12 @@
 constexpr std::size_t engine_count = 24;
 constexpr unsigned slots = 12;
 constexpr auto answer_time = seconds(2);
-/// Two thirds of what the engines can serve.
+/// Two thirds of the engines' capacity.
 constexpr unsigned requests_per_second = 96;
 constexpr auto report_interval = Core::Duration(seconds(2));
 
-/// Boxes that send short questions to the same engines, each knowing its own and, every 2 s, what the others have
-/// there.
+/// Boxes that send short questions to shared engines. Each knows its own load and gets the load of the other boxes
+/// every 2 s.
 class Boxes {
 public:
     Boxes()
@@ -32,15 +32,15 @@
             this->candidates.push_back(&endpoint);
     }
 
-    /// Requests that reach an engine whose slots are all taken, of those of half a minute.
-    [[nodiscard]] unsigned play(double compared_share)
+    /// Number of requests within half a minute that reach a full engine.
+    [[nodiscard]] unsigned run(double compared_share)
     {
         unsigned met_full_engine = 0;
         constexpr auto gap = Core::Duration(seconds(1)) / requests_per_second;
         auto const end = this->now + seconds(30);
         for (; this->now < end; this->now += gap) {
             this->end_answers();
-            this->tell_reports();
+            this->send_reports();
             met_full_engine += this->send(compared_share) ? 1 : 0;
         }
         return met_full_engine;
@@ -84,28 +84,28 @@
         }
     }
 
-    /// Each box tells the others in its turn.
-    void tell_reports()
+    /// Boxes send their reports one after another.
+    void send_reports()
     {
         for (; this->now >= this->reports_at; this->reports_at += report_interval / box_count) {
-            auto const teller = this->next_teller++ % box_count;
-            for (std::size_t hearer = 0; hearer < box_count; ++hearer) {
+            auto const sender = this->next_sender++ % box_count;
+            for (std::size_t receiver = 0; receiver < box_count; ++receiver) {
                 for (auto const& endpoint : this->endpoints)
-                    this->tell(teller, hearer, endpoint.id);
+                    this->send_report(sender, receiver, endpoint.id);
             }
         }
     }
 
-    void tell(std::size_t teller, std::size_t hearer, EndpointId endpoint)
+    void send_report(std::size_t sender, std::size_t receiver, EndpointId endpoint)
     {
-        auto const own = this->loads[teller][endpoint].own_running();
-        if (teller != hearer)
-            this->loads[hearer][endpoint].take_peer(teller, {}, static_cast<unsigned>(own), this->now);
+        auto const own = this->loads[sender][endpoint].own_running();
+        if (sender != receiver)
+            this->loads[receiver][endpoint].apply_peer(sender, {}, static_cast<unsigned>(own), this->now);
     }
 
     Instant now { seconds(100) };
     Instant reports_at { seconds(100) };
-    std::size_t next_teller { 0 };
+    std::size_t next_sender { 0 };
     std::vector<KnownEndpoint> endpoints;
     std::vector<KnownEndpoint const*> candidates;
     std::array<LoadTable, box_count> loads;
@@ -116,20 +116,19 @@
 
 }
 
-// What callers saw: in a burst of short questions one engine got 102 in a second from 87 boxes while others had room;
-// in the day's first 18 s 634 sends were turned away for want of a slot, and on the whole day 265 callers were refused.
-// All boxes had heard of each other's load up to 2 s ago, and found the same engines the emptiest.
-TEST_CASE("boxes that seldom hear of each other's load don't all send to the engine that was the emptiest then")
+// Guards against all boxes sending to the same engines: with rare load reports they find the same engines the emptiest
+// and keep sending there until the next reports, while other engines have free slots.
+TEST_CASE("boxes with rare load reports don't all send to the engine that was the emptiest")
 {
     Boxes comparing_all;
-    auto const with_all = comparing_all.play(1);
+    auto const with_all = comparing_all.run(1);
     Boxes comparing_few;
-    auto const with_few = comparing_few.play(0.05);
+    auto const with_few = comparing_few.run(0.05);
     MESSAGE("sends to full engines, all compared: ", with_all, ", few compared: ", with_few);
     CHECK(with_few * 3 < with_all);
 }
 
-TEST_CASE("a compared engine is the home of the request's prompt, however few are drawn")
+TEST_CASE("the home of a prompt is always among the compared engines")
 {
     std::vector<KnownEndpoint> endpoints;
     endpoints.reserve(engine_count);
@@ -143,7 +142,7 @@
     Workload const review { { { 1, 2500 }, { 7, 3800 }, { 8, 2900 } }, 9200, 54 };
     pcg32 random(1);
     std::optional<EndpointId> home;
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
         PlacementQuery const query { review, true, 0, own_domain, Instant { seconds(100) }, {}, 0.05, random() };
         auto const choice = choose_endpoint({ candidates }, {}, query, {});
         REQUIRE(choice);
