--- a/Libraries/LibGateway/FleetOperator.cpp
+++ b/Libraries/LibGateway/FleetOperator.cpp
@@ -63,7 +63,7 @@
         this->state.metrics.set_servers(service.name, domain, "permanent", counts.permanent);
         this->state.metrics.set_servers(service.name, domain, "revocable", counts.revocable);
     }
-    for (auto const& order : plan.orders_due(*service.scaling, running, now)) {
+    for (auto const& order : plan.due_orders(*service.scaling, running, now)) {
         if (!co_await this->leadership.may_act() || this->leadership.identity().fencing_token != this->term)
             co_return;
         co_await this->give(service, order, running);
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -144,7 +144,7 @@
 {
     for (;;) {
         auto const now = monotonic_now();
-        this->state.router.set_shared_clock(this->state.clock.ahead());
+        this->state.router.set_shared_clock(this->state.clock.offset_from_steady_clock());
         for (auto const endpoint : this->state.router.expire_endpoints(now))
             this->state.connections.forget(endpoint);
         this->state.connections.close_old(now);
--- a/Libraries/LibGateway/Leadership.cpp
+++ b/Libraries/LibGateway/Leadership.cpp
@@ -105,7 +105,7 @@
         this->election.claim_failed(monotonic_now());
         co_return;
     }
-    bool const is_own = this->leader_log.standing(this->process) == LeaderLog::Standing::Leads;
+    bool const is_own = this->leader_log.status(this->process) == LeaderLog::Status::Leads;
     // NOTE: A claim whose answer was lost shows here.
     if (is_own && this->leader_log.token() != this->refused_token) {
         this->take_lead();
@@ -115,7 +115,7 @@
         co_return;
     this->first_own_window = this->leader_log.first_window(this->state.usage_window_at(monotonic_now()));
     Leader::Claim const claim { this->box_name, this->process, this->leader_log.era(), this->first_own_window };
-    auto const outcome = co_await this->append(this->leader_log.records_of_claim(claim, known_reports));
+    auto const outcome = co_await this->append(this->leader_log.claim_records(claim, known_reports));
     if (outcome == Appended::Done) {
         this->take_lead();
         co_return;
@@ -136,7 +136,7 @@
     if (known && known->token >= token)
         return false;
     // NOTE: Its first word may be on its way, or lost. Heard of now, it has a lease to be heard again.
-    return this->election.hear({ token, last->box, 0, 0, 0, false, {} }, monotonic_now());
+    return this->election.receive({ token, last->box, 0, 0, 0, false, {} }, monotonic_now());
 }
 
 void Leadership::take_lead()
@@ -147,7 +147,7 @@
     this->is_in_doubt = false;
     this->must_claim_again = false;
     this->next_window = this->first_own_window;
-    this->election.won(this->announcement(now), now);
+    this->election.claim_succeeded(this->announcement(now), now);
     this->state.metrics.set_leads(true);
     Log::EventLine("leader_claimed")
         .with("box", this->box_name)
@@ -195,13 +195,13 @@
         co_return;
     }
     this->look_pause = first_look_pause;
-    auto const standing = this->leader_log.standing(this->process);
-    if (standing == LeaderLog::Standing::Leads) {
+    auto const standing = this->leader_log.status(this->process);
+    if (standing == LeaderLog::Status::Leads) {
         this->is_in_doubt = false;
         this->must_claim_again = false;
         co_return;
     }
-    if (standing == LeaderLog::Standing::OtherLeads) {
+    if (standing == LeaderLog::Status::OtherLeads) {
         this->lose_lead("another box leads");
         co_return;
     }
@@ -244,7 +244,7 @@
     // NOTE: This box may have claimed anew while it waited for its turn, in another history of the store.
     bool const is_left_out = window < this->first_own_window;
     if (this->leads() && !is_written && !is_left_out) {
-        auto const outcome = co_await this->append(this->leader_log.records_of_report(window, counts));
+        auto const outcome = co_await this->append(this->leader_log.report_records(window, counts));
         if (outcome != Appended::Done) {
             this->is_in_doubt = true;
             co_await this->look_again();
@@ -278,7 +278,7 @@
         Log::EventLine("leader_log_call_failed").with("call", "append").with("reason", why).warning();
         co_return Appended::Unknown;
     }
-    this->leader_log.appended(records, place->offset);
+    this->leader_log.append_succeeded(records, place->offset);
     co_return Appended::Done;
 }
 
@@ -380,12 +380,12 @@
 void Leadership::hear(Leader::Announcement const& announcement, Instant told_at)
 {
     auto const known = this->election.leader();
-    if (!this->election.hear(announcement, told_at))
+    if (!this->election.receive(announcement, told_at))
         return;
     this->heard_at = told_at;
     if (!known || known->token != announcement.token)
         Log::EventLine("leader_heard").with("box", announcement.box).with("token", announcement.token).info();
-    this->state.clock.follow(announcement.unix_microseconds, announcement.clocks, told_at);
+    this->state.clock.adopt(announcement.unix_microseconds, announcement.clocks, told_at);
     if (this->leads() && announcement.token > this->own_token->value())
         this->lose_lead("another box leads");
 }
@@ -401,7 +401,7 @@
 
 void Leadership::woke(Instant now)
 {
-    this->election.woke(now);
+    this->election.after_suspension(now);
     this->is_in_doubt = this->leads();
 }
 
--- a/Libraries/LibGateway/UsageReporter.cpp
+++ b/Libraries/LibGateway/UsageReporter.cpp
@@ -79,8 +79,8 @@
 
 void UsageReporter::hear(Leader::UsageMessage const& message)
 {
-    this->ledger.take(message.process, message.windows);
-    this->state.clock.hear(message.process, message.wall_unix_microseconds, monotonic_now());
+    this->ledger.merge(message.process, message.windows);
+    this->state.clock.add_sample(message.process, message.wall_unix_microseconds, monotonic_now());
 }
 
 Task<void> UsageReporter::report()
@@ -92,7 +92,7 @@
         auto const now = monotonic_now();
         if (this->term != this->leadership.identity().fencing_token)
             this->begin_term(now);
-        this->state.clock.agree(wall_clock_microseconds(), now);
+        this->state.clock.update_from_samples(wall_clock_microseconds(), now);
         this->skip_missed(now);
         co_await this->write_next(now);
         co_await this->send_written(monotonic_now());
@@ -131,7 +131,7 @@
     if (this->state.clock.unix_microseconds(now) < settled_at
         || now - this->leadership.leads_since() < this->settling_time())
         co_return;
-    this->ledger.take(this->process, this->state.usage.windows());
+    this->ledger.merge(this->process, this->state.usage.windows());
     auto const window = this->next_window;
     auto const counts = this->ledger.total(window);
     if (!co_await this->leadership.write_report(window, counts))
--- a/Libraries/LibLeader/FleetPlan.cpp
+++ b/Libraries/LibLeader/FleetPlan.cpp
@@ -13,26 +13,26 @@
 }
 
 /// What the policy asks for, of a demand that may not be known yet and the most servers there can be.
-struct Target {
+struct TargetCount {
     std::optional<double> demand;
     /// For how long demand has been seen.
-    Duration known_for { 0 };
-    unsigned most { 0 };
+    Duration observed_for { 0 };
+    unsigned max_servers { 0 };
 
-    unsigned operator()(WholeFleet const&) const { return this->most; }
+    unsigned operator()(MaximumFleet const&) const { return this->max_servers; }
     unsigned operator()(FollowDemand const& follow) const
     {
-        if (!this->demand || this->known_for < follow.memory)
-            return this->most;
+        if (!this->demand || this->observed_for < follow.demand_window)
+            return this->max_servers;
         auto const needed = std::ceil(*this->demand * follow.headroom);
-        return static_cast<unsigned>(std::clamp(needed, 0.0, static_cast<double>(this->most)));
+        return static_cast<unsigned>(std::clamp(needed, 0.0, static_cast<double>(this->max_servers)));
     }
 };
 
 /// How long demand counts; nothing where it doesn't matter.
-struct Memory {
-    Duration operator()(WholeFleet const&) const { return Duration { 0 }; }
-    Duration operator()(FollowDemand const& follow) const { return follow.memory; }
+struct DemandWindow {
+    Duration operator()(MaximumFleet const&) const { return Duration { 0 }; }
+    Duration operator()(FollowDemand const& follow) const { return follow.demand_window; }
 };
 
 unsigned sum_of(Fleet const& fleet, ServerKind kind)
@@ -49,13 +49,14 @@
 {
     if (!servers)
         return;
-    if (!this->demand_known_since)
-        this->demand_known_since = now;
+    if (!this->demand_observed_since)
+        this->demand_observed_since = now;
     auto& largest = this->demand_by_second[second_of(now)];
     largest = std::max(largest, *servers);
-    auto const memory = std::chrono::duration_cast<std::chrono::seconds>(std::visit(Memory {}, this->policy)).count();
+    auto const demand_window
+        = std::chrono::duration_cast<std::chrono::seconds>(std::visit(DemandWindow {}, this->policy)).count();
     this->demand_by_second.erase(
-        this->demand_by_second.begin(), this->demand_by_second.lower_bound(second_of(now) - memory));
+        this->demand_by_second.begin(), this->demand_by_second.lower_bound(second_of(now) - demand_window));
 }
 
 std::optional<double> FleetPlan::demand() const
@@ -65,13 +66,13 @@
     return std::ranges::max_element(this->demand_by_second, {}, [](auto const& entry) { return entry.second; })->second;
 }
 
-unsigned FleetPlan::target(Routing::ServerScaling const& scaling, Instant now) const
+unsigned FleetPlan::target_count(Routing::ServerScaling const& scaling, Instant now) const
 {
     auto const domains = static_cast<unsigned>(scaling.domain_prices.size());
-    auto const most = domains * scaling.most;
-    auto const least = domains * std::max(1U, scaling.fewest);
-    auto const known_for = now - this->demand_known_since.value_or(now);
-    return std::max(least, std::visit(Target { this->demand(), known_for, most }, this->policy));
+    auto const max_servers = domains * scaling.most;
+    auto const min_servers = domains * std::max(1U, scaling.fewest);
+    auto const observed_for = now - this->demand_observed_since.value_or(now);
+    return std::max(min_servers, std::visit(TargetCount { this->demand(), observed_for, max_servers }, this->policy));
 }
 
 bool FleetPlan::is_refused(std::string const& domain, ServerKind kind) const
@@ -80,7 +81,7 @@
     return found != this->orders.end() && found->second.is_refused;
 }
 
-Fleet FleetPlan::wanted(Routing::ServerScaling const& scaling, Fleet const& running, Instant now) const
+Fleet FleetPlan::target_fleet(Routing::ServerScaling const& scaling, Fleet const& running, Instant now) const
 {
     return this->plan(scaling, running, now).fleet;
 }
@@ -92,9 +93,9 @@
     if (domains == 0)
         return plan;
     bool const is_revocable_cheap
-        = scaling.revocable_price && *scaling.revocable_price <= dearest_revocable && scaling.most > 1;
-    auto const target = this->target(scaling, now);
-    auto const share = (target + domains - 1) / domains;
+        = scaling.revocable_price && *scaling.revocable_price <= max_revocable_price_ratio && scaling.most > 1;
+    auto const target_count = this->target_count(scaling, now);
+    auto const share = (target_count + domains - 1) / domains;
     auto const floor = std::max(1U, scaling.fewest);
     // NOTE: With a single failure domain all cheap servers may go at once, so half of the others stay.
     auto const permanent_floor = domains > 1 ? floor : std::max(floor, share / 2);
@@ -102,28 +103,30 @@
     auto const permanent_share = is_revocable_cheap ? permanent_floor : std::max(floor, share);
     auto const revocable_running = sum_of(running, ServerKind::Revocable);
     auto const permanent_running = sum_of(running, ServerKind::Permanent);
-    auto const kept_after = revocable_running + domains * permanent_share;
+    auto const servers_after_release = revocable_running + domains * permanent_share;
     // NOTE: What runs is given back once those that replace it take requests, or cover as much as runs now.
-    plan.is_replaced = kept_after >= static_cast<unsigned>(replaced_share * static_cast<double>(target))
+    plan.may_release
+        = servers_after_release >= static_cast<unsigned>(min_replacement_share * static_cast<double>(target_count))
         || revocable_running >= permanent_running;
-    auto lacking = target > kept_after ? target - kept_after : 0;
+    auto missing = target_count > servers_after_release ? target_count - servers_after_release : 0;
     std::vector<std::pair<double, std::string>> by_price;
     for (auto const& [domain, price] : scaling.domain_prices)
         by_price.emplace_back(price, domain);
     std::ranges::sort(by_price);
     for (auto const& [price, domain] : by_price) {
         auto const found = running.find(domain);
-        auto const here = found == running.end() ? ServerCounts {} : found->second;
+        auto const running_here = found == running.end() ? ServerCounts {} : found->second;
         ServerCounts counts { permanent_share, revocable_share };
-        if (!plan.is_replaced)
-            counts.permanent = std::max(counts.permanent, here.permanent);
+        if (!plan.may_release)
+            counts.permanent = std::max(counts.permanent, running_here.permanent);
         // NOTE: Where no cheap ones are to be had, others make up what the demand lacks, the cheapest domain first.
-        if (plan.is_replaced && this->demand() && this->is_refused(domain, ServerKind::Revocable)) {
+        if (plan.may_release && this->demand() && this->is_refused(domain, ServerKind::Revocable)) {
             auto const needed = static_cast<unsigned>(std::ceil(*this->demand()));
-            auto const short_of = needed > kept_after ? std::min(lacking, needed - kept_after) : 0;
-            auto const added = std::min(short_of, scaling.most - std::min(scaling.most, counts.permanent));
+            auto const shortfall
+                = needed > servers_after_release ? std::min(missing, needed - servers_after_release) : 0;
+            auto const added = std::min(shortfall, scaling.most - std::min(scaling.most, counts.permanent));
             counts.permanent += added;
-            lacking -= added;
+            missing -= added;
         }
         counts.permanent = std::min(counts.permanent, scaling.most);
         counts.revocable = std::min(counts.revocable, scaling.most - counts.permanent);
@@ -132,11 +135,11 @@
     return plan;
 }
 
-std::vector<ServerOrder> FleetPlan::orders_due(
+std::vector<ServerOrder> FleetPlan::due_orders(
     Routing::ServerScaling const& scaling, Fleet const& running, Instant now) const
 {
     std::vector<ServerOrder> due;
-    auto const consider = [&](std::string const& domain, ServerKind kind, unsigned count, unsigned there) {
+    auto const add_if_due = [&](std::string const& domain, ServerKind kind, unsigned count, unsigned running_count) {
         auto const found = this->orders.find({ domain, kind });
         if (found == this->orders.end()) {
             due.push_back({ domain, kind, count });
@@ -144,43 +147,44 @@
         }
         auto const& order = found->second;
         bool const is_changed = order.count != count;
-        bool const is_missing = there < count && now - order.at >= scaling.start_time + start_margin;
+        bool const is_missing = running_count < count && now - order.at >= scaling.start_time + start_margin;
         if ((is_changed || is_missing || order.is_refused) && now >= order.retry_at)
             due.push_back({ domain, kind, count });
     };
     auto const plan = this->plan(scaling, running, now);
     for (auto const& [domain, counts] : plan.fleet) {
         auto const found = running.find(domain);
-        auto const here = found == running.end() ? ServerCounts {} : found->second;
+        auto const running_here = found == running.end() ? ServerCounts {} : found->second;
         if (scaling.revocable_price)
-            consider(domain, ServerKind::Revocable, counts.revocable, here.revocable);
+            add_if_due(domain, ServerKind::Revocable, counts.revocable, running_here.revocable);
         // NOTE: What runs stays without an order, and the list of servers may not be whole yet.
-        if (plan.is_replaced)
-            consider(domain, ServerKind::Permanent, counts.permanent, here.permanent);
+        if (plan.may_release)
+            add_if_due(domain, ServerKind::Permanent, counts.permanent, running_here.permanent);
     }
     return due;
 }
 
 void FleetPlan::accepted(ServerOrder const& order, Instant now)
 {
-    auto& placed = this->orders[{ order.domain, order.kind }];
+    auto& state = this->orders[{ order.domain, order.kind }];
     // NOTE: An order that is given again since its servers did not come waits longer each time.
-    bool const is_repeated = placed.count == order.count && !placed.is_refused && placed.at != Instant {};
-    placed.pause = is_repeated ? std::min(std::max(2 * placed.pause, first_pause), longest_pause) : Duration { 0 };
-    placed.count = order.count;
-    placed.at = now;
-    placed.retry_at = now + placed.pause;
-    placed.is_refused = false;
+    bool const is_repeated = state.count == order.count && !state.is_refused && state.at != Instant {};
+    state.pause
+        = is_repeated ? std::min(std::max(2 * state.pause, first_retry_pause), max_retry_pause) : Duration { 0 };
+    state.count = order.count;
+    state.at = now;
+    state.retry_at = now + state.pause;
+    state.is_refused = false;
 }
 
 void FleetPlan::refused(ServerOrder const& order, Instant now)
 {
-    auto& placed = this->orders[{ order.domain, order.kind }];
-    placed.pause = placed.is_refused ? std::min(2 * placed.pause, longest_pause) : first_pause;
-    placed.count = order.count;
-    placed.at = now;
-    placed.retry_at = now + placed.pause;
-    placed.is_refused = true;
+    auto& state = this->orders[{ order.domain, order.kind }];
+    state.pause = state.is_refused ? std::min(2 * state.pause, max_retry_pause) : first_retry_pause;
+    state.count = order.count;
+    state.at = now;
+    state.retry_at = now + state.pause;
+    state.is_refused = true;
 }
 
 }
--- a/Libraries/LibLeader/LeaderElection.h
+++ b/Libraries/LibLeader/LeaderElection.h
@@ -41,19 +41,19 @@
     {
     }
 
-    void set_lease(Duration changed) { this->lease = changed; }
+    void set_lease(Duration new_lease) { this->lease = new_lease; }
     /// Silence counts from here: a leader may be there that this box has not heard yet. Not where all boxes start for
     /// the first time: there is none, and a claim waits only until the boxes know each other.
     void started(Instant now, bool is_first_start = false)
     {
-        this->heard_at = is_first_start ? now + first_meeting - this->lease : now;
+        this->silent_since = is_first_start ? now + first_discovery_time - this->lease : now;
     }
     /// The box was suspended: others may have taken the lead meanwhile.
-    void woke(Instant now) { this->heard_at = now; }
+    void after_suspension(Instant now) { this->silent_since = now; }
     /// False for word of an earlier leader than the one known.
-    bool hear(Announcement const& announcement, Instant now);
+    bool receive(Announcement const& announcement, Instant now);
     /// This box took the lead.
-    void won(Announcement const& own, Instant now);
+    void claim_succeeded(Announcement const& own, Instant now);
     /// This box led and does no longer, of its own will or not.
     void stepped_down(Instant now);
     /// This box could not claim.
@@ -62,21 +62,21 @@
     /// Whether the box at this place of the common order may claim now.
     [[nodiscard]] bool may_claim(std::size_t rank, Instant now) const;
     /// The last leader heard of.
-    [[nodiscard]] std::optional<Announcement> const& leader() const { return this->known; }
+    [[nodiscard]] std::optional<Announcement> const& leader() const { return this->last_announcement; }
 
 private:
     /// After all boxes started: within this time each has read the list of all.
-    static constexpr Duration first_meeting { std::chrono::milliseconds(1300) };
+    static constexpr Duration first_discovery_time { std::chrono::milliseconds(1300) };
     /// From one box of the order to the next: a claim takes two calls of the store.
-    static constexpr Duration step { std::chrono::milliseconds(300) };
+    static constexpr Duration rank_delay { std::chrono::milliseconds(300) };
     static constexpr Duration first_claim_pause { std::chrono::seconds(1) };
-    static constexpr Duration longest_claim_pause { std::chrono::seconds(8) };
+    static constexpr Duration max_claim_pause { std::chrono::seconds(8) };
 
     Duration lease;
-    std::optional<Announcement> known;
-    Instant heard_at;
+    std::optional<Announcement> last_announcement;
+    Instant silent_since;
     /// Not before this moment: after a failed claim, or after this box led.
-    Instant stands_back_until;
+    Instant claims_blocked_until;
     Duration claim_pause { first_claim_pause };
 };
 
--- a/Libraries/LibLeader/LeaderLog.cpp
+++ b/Libraries/LibLeader/LeaderLog.cpp
@@ -46,11 +46,11 @@
     log.log_end = end;
     log.log_era = era;
     for (auto const& record : newest)
-        log.take(record);
+        log.apply(record);
     return log;
 }
 
-void LeaderLog::take(LogRecord const& record)
+void LeaderLog::apply(LogRecord const& record)
 {
     if (record.key == claim_key && record.value) {
         if (auto claim = decode_claim(*record.value)) {
@@ -69,9 +69,9 @@
     auto const& [window, counts] = *report;
     this->report_keys.insert_or_assign(record.key, window);
     if (record.key == report_key(window, this->log_era))
-        this->written.insert_or_assign(window, counts);
+        this->current_reports.insert_or_assign(window, counts);
     else
-        this->newest_earlier = std::max(this->newest_earlier.value_or(window), window);
+        this->newest_earlier_era_window = std::max(this->newest_earlier_era_window.value_or(window), window);
 }
 
 std::optional<FencingToken> LeaderLog::token() const
@@ -81,55 +81,56 @@
     return FencingToken { this->log_era, this->claim_offset };
 }
 
-LeaderLog::Standing LeaderLog::standing(std::uint64_t process) const
+LeaderLog::Status LeaderLog::status(std::uint64_t process) const
 {
     if (!this->last_claim || this->last_claim->era < this->log_era)
-        return Standing::Vacant;
-    return this->last_claim->process == process ? Standing::Leads : Standing::OtherLeads;
+        return Status::Vacant;
+    return this->last_claim->process == process ? Status::Leads : Status::OtherLeads;
 }
 
 std::uint64_t LeaderLog::first_window(std::uint64_t current) const
 {
     bool const may_lack_reports = !this->last_claim || this->last_claim->era < this->log_era;
-    auto const looked_back = current - std::min(current, windows_looked_back);
-    auto const first = may_lack_reports ? current : std::max(looked_back, this->last_claim->first_window);
-    auto const after_earlier = this->newest_earlier ? *this->newest_earlier + 1 : 0;
-    auto const after_written = this->written.empty() ? 0 : this->written.rbegin()->first + 1;
-    return std::max({ first, after_earlier, after_written });
+    auto const lookback_start = current - std::min(current, lookback_windows);
+    auto const first = may_lack_reports ? current : std::max(lookback_start, this->last_claim->first_window);
+    auto const after_earlier_reports = this->newest_earlier_era_window ? *this->newest_earlier_era_window + 1 : 0;
+    auto const after_current_reports = this->current_reports.empty() ? 0 : this->current_reports.rbegin()->first + 1;
+    return std::max({ first, after_earlier_reports, after_current_reports });
 }
 
-std::vector<LogRecord> LeaderLog::records_of_claim(
+std::vector<LogRecord> LeaderLog::claim_records(
     Claim const& claim, std::map<std::uint64_t, AccountCounts> const& known_reports) const
 {
     std::vector<LogRecord> records { { std::string(claim_key), encode(claim), 0 } };
     for (auto const& [window, counts] : known_reports) {
-        if (!this->written.contains(window))
+        if (!this->current_reports.contains(window))
             records.push_back({ report_key(window, this->log_era), encode_report(window, counts), 0 });
     }
     return records;
 }
 
-std::vector<LogRecord> LeaderLog::records_of_report(std::uint64_t window, AccountCounts const& counts) const
+std::vector<LogRecord> LeaderLog::report_records(std::uint64_t window, AccountCounts const& counts) const
 {
     std::vector<LogRecord> records { { report_key(window, this->log_era), encode_report(window, counts), 0 } };
     for (auto const& [key, old_window] : this->report_keys) {
-        if (old_window + windows_kept < window)
+        if (old_window + retained_windows < window)
             records.push_back({ key, std::nullopt, 0 });
     }
     return records;
 }
 
-void LeaderLog::appended(std::vector<LogRecord> const& records, std::uint64_t offset)
+void LeaderLog::append_succeeded(std::vector<LogRecord> const& records, std::uint64_t offset)
 {
     for (auto record : records) {
         record.offset = offset++;
-        this->take(record);
+        this->apply(record);
     }
     this->log_end = offset;
-    if (this->written.empty())
+    if (this->current_reports.empty())
         return;
-    auto const newest = this->written.rbegin()->first;
-    std::erase_if(this->written, [&](auto const& report) { return report.first + 2 * windows_kept < newest; });
+    auto const newest = this->current_reports.rbegin()->first;
+    std::erase_if(
+        this->current_reports, [&](auto const& report) { return report.first + 2 * retained_windows < newest; });
 }
 
 }
--- a/Libraries/LibLeader/LeaderLog.h
+++ b/Libraries/LibLeader/LeaderLog.h
@@ -49,7 +49,7 @@
     /// The fencing token of the last claim; nothing without one.
     [[nodiscard]] std::optional<FencingToken> token() const;
     /// What the log says of the process's lead.
-    enum class Standing {
+    enum class Status {
         /// Its claim is the last one.
         Leads,
         OtherLeads,
@@ -57,38 +57,38 @@
         /// written than the log holds.
         Vacant,
     };
-    [[nodiscard]] Standing standing(std::uint64_t process) const;
+    [[nodiscard]] Status status(std::uint64_t process) const;
     /// The first window that a box that claims now may report, where `current` is the one in progress. Windows that are
     /// reported are left out, and those that an earlier leader left out. So are all that are over where nobody has
     /// claimed in the store's present history: reports may have been sent that the store lost, and a second one with
     /// other counts would be worse than none.
     [[nodiscard]] std::uint64_t first_window(std::uint64_t current) const;
     /// Reports by window that are written down in the store's present history.
-    [[nodiscard]] std::map<std::uint64_t, AccountCounts> const& reports() const { return this->written; }
+    [[nodiscard]] std::map<std::uint64_t, AccountCounts> const& reports() const { return this->current_reports; }
 
     /// The records of a claim: it, and reports that its writer knows of an earlier history.
-    [[nodiscard]] std::vector<LogRecord> records_of_claim(
+    [[nodiscard]] std::vector<LogRecord> claim_records(
         Claim const& claim, std::map<std::uint64_t, AccountCounts> const& known_reports) const;
     /// The records of a report: it, and the dropping of those that nobody needs any more.
-    [[nodiscard]] std::vector<LogRecord> records_of_report(std::uint64_t window, AccountCounts const& counts) const;
+    [[nodiscard]] std::vector<LogRecord> report_records(std::uint64_t window, AccountCounts const& counts) const;
     /// These records were appended by this process, the first of them at `offset`.
-    void appended(std::vector<LogRecord> const& records, std::uint64_t offset);
+    void append_succeeded(std::vector<LogRecord> const& records, std::uint64_t offset);
 
 private:
-    void take(LogRecord const& record);
+    void apply(LogRecord const& record);
 
     /// Windows before the one in progress that a new leader reports, if nobody has: they are not due yet.
-    static constexpr std::uint64_t windows_looked_back = 2;
+    static constexpr std::uint64_t lookback_windows = 2;
     /// A window's report is due some windows after its end; a successor looks back no further.
-    static constexpr std::uint64_t windows_kept = 12;
+    static constexpr std::uint64_t retained_windows = 12;
 
     std::uint64_t log_end { 0 };
     std::uint64_t log_era { 0 };
     std::optional<Claim> last_claim;
     std::uint64_t claim_offset { 0 };
-    std::map<std::uint64_t, AccountCounts> written;
+    std::map<std::uint64_t, AccountCounts> current_reports;
     /// The newest window with a report of an earlier history.
-    std::optional<std::uint64_t> newest_earlier;
+    std::optional<std::uint64_t> newest_earlier_era_window;
     /// Windows of the reports in the log, by key.
     std::map<std::string, std::uint64_t> report_keys;
 };
--- a/Libraries/LibLeader/LeaderMessages.cpp
+++ b/Libraries/LibLeader/LeaderMessages.cpp
@@ -9,9 +9,9 @@
 namespace wire = cleatbeam::leader;
 
 /// A box keeps fewer windows, and no deployment planned has more accounts.
-constexpr int most_windows = 32;
-constexpr int most_accounts = 4096;
-constexpr std::size_t longest_name = 256;
+constexpr int max_windows = 32;
+constexpr int max_accounts = 4096;
+constexpr std::size_t max_name_size = 256;
 
 template <typename Message> void put_counts(AccountCounts const& counts, Message& message)
 {
@@ -25,11 +25,11 @@
 /// Nothing for more accounts than there can be, or a name that is none.
 template <typename Message> std::optional<AccountCounts> counts_from(Message const& message)
 {
-    if (message.counts_size() > most_accounts)
+    if (message.counts_size() > max_accounts)
         return {};
     AccountCounts counts;
     for (auto const& count : message.counts()) {
-        if (count.account().size() > longest_name)
+        if (count.account().size() > max_name_size)
             return {};
         counts.emplace(count.account(), count.requests());
     }
@@ -41,45 +41,46 @@
 
     void operator()(Announcement const& announcement) const
     {
-        auto& told = *this->message.mutable_announcement();
-        told.set_token(announcement.token);
-        told.set_box(announcement.box);
-        told.set_next_window(announcement.next_window);
-        told.set_unix_us(announcement.unix_microseconds);
-        told.set_clocks(announcement.clocks);
-        told.set_has_resigned(announcement.has_resigned);
-        told.set_host(announcement.address.host);
-        told.set_port(announcement.address.port);
+        auto& wire_message = *this->message.mutable_announcement();
+        wire_message.set_token(announcement.token);
+        wire_message.set_box(announcement.box);
+        wire_message.set_next_window(announcement.next_window);
+        wire_message.set_unix_us(announcement.unix_microseconds);
+        wire_message.set_clocks(announcement.clocks);
+        wire_message.set_has_resigned(announcement.has_resigned);
+        wire_message.set_host(announcement.address.host);
+        wire_message.set_port(announcement.address.port);
     }
     void operator()(UsageMessage const& usage) const
     {
-        auto& told = *this->message.mutable_usage();
-        told.set_process(usage.process);
-        told.set_unix_us(usage.wall_unix_microseconds);
+        auto& wire_message = *this->message.mutable_usage();
+        wire_message.set_process(usage.process);
+        wire_message.set_unix_us(usage.wall_unix_microseconds);
         for (auto const& [window, counts] : usage.windows) {
-            auto& window_counts = *told.add_windows();
+            auto& window_counts = *wire_message.add_windows();
             window_counts.set_window(window);
             put_counts(counts, window_counts);
         }
     }
 };
 
-std::optional<LeaderMessage> announcement_from(wire::Announcement const& told)
+std::optional<LeaderMessage> announcement_from(wire::Announcement const& wire_message)
 {
-    constexpr std::uint32_t highest_port = 65535;
-    if (told.token() == 0 || told.box().empty() || told.box().size() > longest_name || told.host().size() > longest_name
-        || told.port() > highest_port)
+    constexpr std::uint32_t max_port = 65535;
+    if (wire_message.token() == 0 || wire_message.box().empty() || wire_message.box().size() > max_name_size
+        || wire_message.host().size() > max_name_size || wire_message.port() > max_port)
         return {};
-    return Announcement { told.token(), told.box(), told.next_window(), told.unix_us(), told.clocks(),
-        told.has_resigned(), { told.host(), static_cast<std::uint16_t>(told.port()) } };
+    return Announcement { wire_message.token(), wire_message.box(), wire_message.next_window(), wire_message.unix_us(),
+        wire_message.clocks(), wire_message.has_resigned(),
+        { wire_message.host(), static_cast<std::uint16_t>(wire_message.port()) } };
 }
 
-std::optional<LeaderMessage> usage_from(wire::UsageCounts const& told)
+std::optional<LeaderMessage> usage_from(wire::UsageCounts const& wire_message)
 {
-    if (told.process() == 0 || told.windows_size() > most_windows)
+    if (wire_message.process() == 0 || wire_message.windows_size() > max_windows)
         return {};
-    UsageMessage usage { told.process(), {}, told.unix_us() };
-    for (auto const& window : told.windows()) {
+    UsageMessage usage { wire_message.process(), {}, wire_message.unix_us() };
+    for (auto const& window : wire_message.windows()) {
         auto counts = counts_from(window);
         if (!counts)
             return {};
@@ -99,13 +100,13 @@
 
 std::optional<LeaderMessage> decode_leader_message(std::string_view bytes)
 {
-    wire::LeaderMessage told;
-    if (!told.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+    wire::LeaderMessage wire_message;
+    if (!wire_message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return {};
-    if (told.has_announcement())
-        return announcement_from(told.announcement());
-    if (told.has_usage())
-        return usage_from(told.usage());
+    if (wire_message.has_announcement())
+        return announcement_from(wire_message.announcement());
+    if (wire_message.has_usage())
+        return usage_from(wire_message.usage());
     return {};
 }
 
--- a/Libraries/LibLeader/SharedClock.cpp
+++ b/Libraries/LibLeader/SharedClock.cpp
@@ -8,34 +8,34 @@
 void SharedClock::start(std::uint64_t wall_unix_microseconds, Instant now)
 {
     this->offset = offset_of(wall_unix_microseconds, now);
-    this->of_clocks = 1;
+    this->clock_count = 1;
 }
 
-void SharedClock::hear(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now)
+void SharedClock::add_sample(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now)
 {
-    this->told.insert_or_assign(process, Told { offset_of(wall_unix_microseconds, now), now });
+    this->samples.insert_or_assign(process, Sample { offset_of(wall_unix_microseconds, now), now });
 }
 
-void SharedClock::agree(std::uint64_t own_wall_unix_microseconds, Instant now)
+void SharedClock::update_from_samples(std::uint64_t own_wall_unix_microseconds, Instant now)
 {
-    std::erase_if(this->told, [now](auto const& entry) { return now - entry.second.at > memory; });
+    std::erase_if(this->samples, [now](auto const& entry) { return now - entry.second.at > sample_retention; });
     std::vector<std::int64_t> offsets { offset_of(own_wall_unix_microseconds, now) };
-    for (auto const& [process, heard] : this->told)
-        offsets.push_back(heard.offset);
-    if (offsets.size() < fewest_clocks)
+    for (auto const& [process, sample] : this->samples)
+        offsets.push_back(sample.offset);
+    if (offsets.size() < min_clocks)
         return;
     auto const middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
     std::ranges::nth_element(offsets, middle);
     this->offset = *middle;
-    this->of_clocks = static_cast<unsigned>(offsets.size());
+    this->clock_count = static_cast<unsigned>(offsets.size());
 }
 
-void SharedClock::follow(std::uint64_t unix_microseconds, unsigned clocks, Instant now)
+void SharedClock::adopt(std::uint64_t unix_microseconds, unsigned clocks, Instant now)
 {
-    if (clocks < fewest_clocks)
+    if (clocks < min_clocks)
         return;
     this->offset = offset_of(unix_microseconds, now);
-    this->of_clocks = clocks;
+    this->clock_count = clocks;
 }
 
 std::uint64_t SharedClock::unix_microseconds(Instant now) const
--- a/Libraries/LibLeader/SharedClock.h
+++ b/Libraries/LibLeader/SharedClock.h
@@ -19,20 +19,20 @@
     /// This box's own wall clock at a moment.
     void start(std::uint64_t wall_unix_microseconds, Instant now);
     /// What another process's wall clock showed when it told so, a moment ago.
-    void hear(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now);
+    void add_sample(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now);
     /// The leader sets its time anew from its own wall clock and those that it heard of.
-    void agree(std::uint64_t own_wall_unix_microseconds, Instant now);
+    void update_from_samples(std::uint64_t own_wall_unix_microseconds, Instant now);
     /// The leader told the time, the median of so many clocks.
-    void follow(std::uint64_t unix_microseconds, unsigned clocks, Instant now);
+    void adopt(std::uint64_t unix_microseconds, unsigned clocks, Instant now);
 
     [[nodiscard]] std::uint64_t unix_microseconds(Instant now) const;
     /// How far it is ahead of the clock since this box booted.
-    [[nodiscard]] Duration ahead() const { return Duration { this->offset }; }
+    [[nodiscard]] Duration offset_from_steady_clock() const { return Duration { this->offset }; }
     /// Clocks that the time is the median of.
-    [[nodiscard]] unsigned clocks() const { return this->of_clocks; }
+    [[nodiscard]] unsigned clocks() const { return this->clock_count; }
 
 private:
-    struct Told {
+    struct Sample {
         std::int64_t offset { 0 };
         Instant at;
     };
@@ -43,13 +43,13 @@
     }
 
     /// Fewer clocks have no median worth following: two of three may step together.
-    static constexpr unsigned fewest_clocks = 4;
+    static constexpr unsigned min_clocks = 4;
     /// What was told longer ago is of a box that may be gone.
-    static constexpr Duration memory { std::chrono::seconds(10) };
+    static constexpr Duration sample_retention { std::chrono::seconds(10) };
 
     std::int64_t offset { 0 };
-    unsigned of_clocks { 1 };
-    std::map<std::uint64_t, Told> told;
+    unsigned clock_count { 1 };
+    std::map<std::uint64_t, Sample> samples;
 };
 
 }
--- a/Libraries/LibLeader/UsageCounts.cpp
+++ b/Libraries/LibLeader/UsageCounts.cpp
@@ -7,16 +7,16 @@
 void UsageCounts::add(std::string const& account, std::uint64_t window)
 {
     ++this->counts[window][account];
-    if (this->counts.size() > most_windows)
+    if (this->counts.size() > max_windows)
         this->counts.erase(this->counts.begin());
 }
 
-void UsageLedger::take(std::uint64_t process, std::map<std::uint64_t, AccountCounts> const& told)
+void UsageLedger::merge(std::uint64_t process, std::map<std::uint64_t, AccountCounts> const& reported)
 {
-    for (auto const& [window, accounts] : told) {
-        auto& known = this->by_window[window][process];
+    for (auto const& [window, accounts] : reported) {
+        auto& process_counts = this->by_window[window][process];
         for (auto const& [account, requests] : accounts) {
-            auto& sum = known[account];
+            auto& sum = process_counts[account];
             sum = std::max(sum, requests);
         }
     }
--- a/Libraries/LibLeader/UsageCounts.h
+++ b/Libraries/LibLeader/UsageCounts.h
@@ -34,7 +34,7 @@
 
 private:
     /// Longer than a report may be late, so that a new leader can be told all that is not reported yet.
-    static constexpr std::size_t most_windows = 8;
+    static constexpr std::size_t max_windows = 8;
 
     std::map<std::uint64_t, AccountCounts> counts;
 };
@@ -43,7 +43,7 @@
 /// comes late or out of order takes nothing back.
 class UsageLedger {
 public:
-    void take(std::uint64_t process, std::map<std::uint64_t, AccountCounts> const& told);
+    void merge(std::uint64_t process, std::map<std::uint64_t, AccountCounts> const& reported);
     [[nodiscard]] AccountCounts total(std::uint64_t window) const;
     /// Forgets earlier windows.
     void forget_before(std::uint64_t window);
--- a/Programs/cleatbeam/Route.cpp
+++ b/Programs/cleatbeam/Route.cpp
@@ -32,7 +32,7 @@
 std::optional<Leader::FleetPolicy> fleet_policy(std::string const& name)
 {
     if (name == "all")
-        return Leader::WholeFleet {};
+        return Leader::MaximumFleet {};
     if (name == "demand")
         return Leader::FollowDemand {};
     return {};
--- a/Tests/LibLeader/TestFleetPlan.cpp
+++ b/Tests/LibLeader/TestFleetPlan.cpp
@@ -31,15 +31,16 @@
     Fleet running;
     Fleet ordered;
     std::vector<std::pair<Instant, ServerOrder>> starting;
-    std::optional<std::string> dry;
+    std::optional<std::string> sold_out_domain;
     unsigned calls { 0 };
 
-    void take(FleetPlan& plan, ServerOrder const& order, Instant now)
+    void place(FleetPlan& plan, ServerOrder const& order, Instant now)
     {
         ++this->calls;
         auto& counts = this->running[order.domain];
         bool const is_more = order.count > counts.of(order.kind);
-        if (is_more && this->dry && order.kind == ServerKind::Revocable && *this->dry == order.domain) {
+        if (is_more && this->sold_out_domain && order.kind == ServerKind::Revocable
+            && *this->sold_out_domain == order.domain) {
             plan.refused(order, now);
             return;
         }
@@ -55,22 +56,22 @@
         (order.kind == ServerKind::Permanent ? counts.permanent : counts.revocable) = order.count;
     }
 
-    void play(FleetPlan& plan, Instant now, std::optional<double> demand)
+    void run(FleetPlan& plan, Instant now, std::optional<double> demand)
     {
         for (auto const& [ready_at, order] : this->starting) {
             if (ready_at == now)
                 set(this->running[order.domain], order);
         }
         plan.observe_demand(demand, now);
-        for (auto const& order : plan.orders_due(scaling(), this->running, now))
-            this->take(plan, order, now);
+        for (auto const& order : plan.due_orders(scaling(), this->running, now))
+            this->place(plan, order, now);
     }
 
     /// From one moment to another, in half seconds.
-    void play(FleetPlan& plan, std::int64_t from, std::int64_t until, std::optional<double> demand)
+    void run(FleetPlan& plan, std::int64_t from, std::int64_t until, std::optional<double> demand)
     {
         for (auto now = from; now < until; now += 500)
-            this->play(plan, at(now), demand);
+            this->run(plan, at(now), demand);
     }
 };
 
@@ -86,22 +87,22 @@
 
 TEST_CASE("cheap servers come first, and dear ones go only when those take requests")
 {
-    FleetPlan plan(WholeFleet {});
+    FleetPlan plan(MaximumFleet {});
     auto platform = with_permanent(20);
-    platform.play(plan, 0, 4000, {});
+    platform.run(plan, 0, 4000, {});
     CHECK(total(platform.running, ServerKind::Permanent) == 60);
-    platform.play(plan, 4000, 5000, {});
+    platform.run(plan, 4000, 5000, {});
     CHECK(total(platform.running, ServerKind::Permanent) == 3);
     CHECK(total(platform.running, ServerKind::Revocable) == 60);
-    platform.play(plan, 5000, 10'000, {});
+    platform.run(plan, 5000, 10'000, {});
     CHECK(total(platform.running, ServerKind::Revocable) == 117);
 }
 
 TEST_CASE("never more servers are wanted in a failure domain than may be there")
 {
-    FleetPlan plan(WholeFleet {});
+    FleetPlan plan(MaximumFleet {});
     for (auto const permanent : { 0U, 1U, 20U, 39U, 40U }) {
-        auto const fleet = plan.wanted(scaling(), with_permanent(permanent).running, at(0));
+        auto const fleet = plan.target_fleet(scaling(), with_permanent(permanent).running, at(0));
         for (auto const& [domain, counts] : fleet) {
             CHECK(counts.all() <= 40);
             CHECK(counts.all() >= 1);
@@ -111,17 +112,17 @@
 
 TEST_CASE("where no servers can be taken away the dear ones carry all")
 {
-    FleetPlan plan(WholeFleet {});
-    auto const fleet = plan.wanted(scaling({}), with_permanent(20).running, at(0));
+    FleetPlan plan(MaximumFleet {});
+    auto const fleet = plan.target_fleet(scaling({}), with_permanent(20).running, at(0));
     CHECK(total(fleet, ServerKind::Permanent) == 120);
     CHECK(total(fleet, ServerKind::Revocable) == 0);
 }
 
 TEST_CASE("with one failure domain half of the servers can't be taken away")
 {
-    FleetPlan plan(WholeFleet {});
+    FleetPlan plan(MaximumFleet {});
     Routing::ServerScaling const alone { 1, 40, std::chrono::seconds(4), 0.15, { { "a", 1.0 } } };
-    auto const fleet = plan.wanted(alone, { { "a", { 20, 20 } } }, at(0));
+    auto const fleet = plan.target_fleet(alone, { { "a", { 20, 20 } } }, at(0));
     CHECK(fleet.at("a").permanent == 20);
     CHECK(fleet.at("a").revocable == 20);
 }
@@ -130,18 +131,18 @@
 {
     FleetPlan plan(FollowDemand { 2, std::chrono::seconds(30) });
     auto platform = with_permanent(20);
-    platform.play(plan, 0, 10'000, {});
+    platform.run(plan, 0, 10'000, {});
     CHECK(total(platform.running, ServerKind::Revocable) == 117);
     // The first demand is that of a calm moment; nothing is given back for it.
-    platform.play(plan, 10'000, 39'500, 15.0);
+    platform.run(plan, 10'000, 39'500, 15.0);
     CHECK(total(platform.running, ServerKind::Revocable) == 117);
-    platform.play(plan, 39'500, 42'000, 15.0);
+    platform.run(plan, 39'500, 42'000, 15.0);
     CHECK(total(platform.running, ServerKind::Revocable) + 3 == 30);
-    platform.play(plan, 42'000, 50'000, 40.0);
+    platform.run(plan, 42'000, 50'000, 40.0);
     CHECK(total(platform.running, ServerKind::Revocable) + 3 == 81);
-    platform.play(plan, 50'000, 75'000, 15.0);
+    platform.run(plan, 50'000, 75'000, 15.0);
     CHECK(total(platform.running, ServerKind::Revocable) + 3 == 81);
-    platform.play(plan, 75'000, 85'000, 15.0);
+    platform.run(plan, 75'000, 85'000, 15.0);
     CHECK(total(platform.running, ServerKind::Revocable) + 3 == 30);
 }
 
@@ -151,28 +152,28 @@
 {
     FleetPlan plan(FollowDemand { 1.5, std::chrono::seconds(30) });
     auto platform = with_permanent(20);
-    platform.play(plan, 0, 20'000, 75.0);
+    platform.run(plan, 0, 20'000, 75.0);
     REQUIRE(total(platform.running, ServerKind::Revocable) + 3 >= 113);
     platform.running["a"].revocable = 0;
-    platform.dry = "a";
-    platform.play(plan, 20'000, 26'000, 75.0);
+    platform.sold_out_domain = "a";
+    platform.run(plan, 20'000, 26'000, 75.0);
     CHECK(total(platform.running, ServerKind::Permanent) + total(platform.running, ServerKind::Revocable) >= 75);
     auto const calls = platform.calls;
-    platform.play(plan, 26'000, 30'000, 75.0);
+    platform.run(plan, 26'000, 30'000, 75.0);
     CHECK(platform.calls - calls <= 4);
-    platform.dry.reset();
-    platform.play(plan, 30'000, 50'000, 75.0);
+    platform.sold_out_domain.reset();
+    platform.run(plan, 30'000, 50'000, 75.0);
     CHECK(total(platform.running, ServerKind::Permanent) == 3);
     CHECK(platform.running.at("a").revocable >= 36);
 }
 
 TEST_CASE("an order whose servers did not come is given again, ever less often")
 {
-    FleetPlan plan(WholeFleet {});
+    FleetPlan plan(MaximumFleet {});
     Fleet const running { { "a", { 1, 0 } }, { "b", { 1, 0 } }, { "c", { 1, 0 } } };
     unsigned orders = 0;
     for (std::int64_t now = 0; now < 60'000; now += 500) {
-        for (auto const& order : plan.orders_due(scaling(), running, at(now))) {
+        for (auto const& order : plan.due_orders(scaling(), running, at(now))) {
             plan.accepted(order, at(now));
             ++orders;
         }
@@ -183,11 +184,11 @@
 
 TEST_CASE("a leader that takes over gives all its orders once")
 {
-    FleetPlan plan(WholeFleet {});
+    FleetPlan plan(MaximumFleet {});
     Fleet const running { { "a", { 1, 39 } }, { "b", { 1, 39 } }, { "c", { 1, 39 } } };
-    auto const due = plan.orders_due(scaling(), running, at(0));
+    auto const due = plan.due_orders(scaling(), running, at(0));
     CHECK(due.size() == 6);
     for (auto const& order : due)
         plan.accepted(order, at(0));
-    CHECK(plan.orders_due(scaling(), running, at(60'000)).empty());
+    CHECK(plan.due_orders(scaling(), running, at(60'000)).empty());
 }
--- a/Tests/LibLeader/TestLeaderElection.cpp
+++ b/Tests/LibLeader/TestLeaderElection.cpp
@@ -48,7 +48,7 @@
 TEST_CASE("word of a leader takes the claim back")
 {
     auto election = started_at(0);
-    REQUIRE(election.hear(leader(5), at(2900)));
+    REQUIRE(election.receive(leader(5), at(2900)));
     CHECK_FALSE(election.may_claim(0, at(5800)));
     CHECK(election.may_claim(0, at(5900)));
 }
@@ -56,8 +56,8 @@
 TEST_CASE("word of an earlier leader counts for nothing")
 {
     auto election = started_at(0);
-    REQUIRE(election.hear(leader(5), at(1000)));
-    CHECK_FALSE(election.hear(leader(4), at(3900)));
+    REQUIRE(election.receive(leader(5), at(1000)));
+    CHECK_FALSE(election.receive(leader(4), at(3900)));
     CHECK(election.may_claim(0, at(4000)));
     CHECK(election.leader()->token == 5);
 }
@@ -65,7 +65,7 @@
 TEST_CASE("a leader that steps down is followed at once, box after box")
 {
     auto election = started_at(0);
-    REQUIRE(election.hear(leader(5, true), at(1000)));
+    REQUIRE(election.receive(leader(5, true), at(1000)));
     CHECK(election.may_claim(0, at(1000)));
     CHECK_FALSE(election.may_claim(2, at(1500)));
     CHECK(election.may_claim(2, at(1600)));
@@ -74,7 +74,7 @@
 TEST_CASE("a box that led stands back, so that no other one's time lies between two of its own within a lease")
 {
     auto election = started_at(0);
-    election.won(leader(5), at(4000));
+    election.claim_succeeded(leader(5), at(4000));
     election.stepped_down(at(5000));
     CHECK_FALSE(election.may_claim(0, at(10'999)));
     CHECK(election.may_claim(0, at(11'000)));
@@ -94,7 +94,7 @@
 TEST_CASE("a box that was suspended listens for a lease before it claims")
 {
     auto election = started_at(0);
-    election.woke(at(9000));
+    election.after_suspension(at(9000));
     CHECK_FALSE(election.may_claim(0, at(11'999)));
     CHECK(election.may_claim(0, at(12'000)));
 }
--- a/Tests/LibLeader/TestLeaderLog.cpp
+++ b/Tests/LibLeader/TestLeaderLog.cpp
@@ -45,7 +45,7 @@
         return LeaderLog::from(list, this->records.size(), this->era);
     }
 
-    void lose_last(std::size_t count)
+    void restore_without_last(std::size_t count)
     {
         this->records.resize(this->records.size() - std::min(count, this->records.size()));
         ++this->era;
@@ -61,14 +61,14 @@
 }
 
 /// Claims for the process, as of what it reads now, while the window is in progress.
-std::optional<LeaderLog> claimed(Store& store, std::uint64_t process, std::uint64_t window = 0)
+std::optional<LeaderLog> append_claim(Store& store, std::uint64_t process, std::uint64_t window = 0)
 {
     auto log = store.read();
-    auto const records = log.records_of_claim(claim_of(process, log, window), {});
+    auto const records = log.claim_records(claim_of(process, log, window), {});
     auto const offset = store.append({ records, log.end() });
     if (!offset)
         return {};
-    log.appended(records, *offset);
+    log.append_succeeded(records, *offset);
     return log;
 }
 
@@ -77,42 +77,42 @@
 TEST_CASE("the last claim leads, and its token is higher than all before")
 {
     Store store;
-    auto const first = claimed(store, 1);
+    auto const first = append_claim(store, 1);
     REQUIRE(first);
-    auto const second = claimed(store, 2);
+    auto const second = append_claim(store, 2);
     REQUIRE(second);
-    CHECK(second->standing(2) == LeaderLog::Standing::Leads);
-    CHECK(store.read().standing(1) == LeaderLog::Standing::OtherLeads);
+    CHECK(second->status(2) == LeaderLog::Status::Leads);
+    CHECK(store.read().status(1) == LeaderLog::Status::OtherLeads);
     CHECK(second->token()->value() > first->token()->value());
 }
 
 TEST_CASE("a token rises across a return from a copy, although offsets are given out again")
 {
     Store store;
-    REQUIRE(claimed(store, 1));
-    auto const before = claimed(store, 2)->token()->value();
-    store.lose_last(2);
-    CHECK(store.read().standing(2) == LeaderLog::Standing::Vacant);
-    CHECK(claimed(store, 1)->token()->value() > before);
+    REQUIRE(append_claim(store, 1));
+    auto const before = append_claim(store, 2)->token()->value();
+    store.restore_without_last(2);
+    CHECK(store.read().status(2) == LeaderLog::Status::Vacant);
+    CHECK(append_claim(store, 1)->token()->value() > before);
 }
 
 TEST_CASE("a box that another one followed writes nothing more")
 {
     Store store;
-    auto const first = claimed(store, 1);
-    REQUIRE(claimed(store, 2));
-    CHECK_FALSE(store.append({ first->records_of_report(7, { { "a", 3 } }), first->end() }));
+    auto const first = append_claim(store, 1);
+    REQUIRE(append_claim(store, 2));
+    CHECK_FALSE(store.append({ first->report_records(7, { { "a", 3 } }), first->end() }));
 }
 
 TEST_CASE("a new leader leaves out what is reported, and what may be and was lost")
 {
     Store store;
-    auto log = claimed(store, 1);
-    auto const records = log->records_of_report(7, { { "a", 3 } });
+    auto log = append_claim(store, 1);
+    auto const records = log->report_records(7, { { "a", 3 } });
     REQUIRE(store.append({ records, log->end() }));
     CHECK(store.read().first_window(8) == 8);
     CHECK(store.read().first_window(12) == 10);
-    store.lose_last(1);
+    store.restore_without_last(1);
     CHECK(store.read().first_window(12) == 12);
 }
 
@@ -123,12 +123,12 @@
 TEST_CASE("what one leader left out stays left out, also where the store lost every claim")
 {
     Store store;
-    REQUIRE(claimed(store, 1, 7));
-    store.lose_last(9);
+    REQUIRE(append_claim(store, 1, 7));
+    store.restore_without_last(9);
     CHECK(store.read().first_window(8) == 8);
-    REQUIRE(claimed(store, 2, 8));
+    REQUIRE(append_claim(store, 2, 8));
     CHECK(store.read().first_window(9) == 8);
-    REQUIRE(claimed(store, 3, 9));
+    REQUIRE(append_claim(store, 3, 9));
     CHECK(store.read().first_window(9) == 8);
 }
 
@@ -139,24 +139,24 @@
 TEST_CASE("a report of before the copy only says that its window is to be left out")
 {
     Store store;
-    auto log = claimed(store, 1);
-    auto const late = log->records_of_report(7, { { "a", 3 } });
+    auto log = append_claim(store, 1);
+    auto const late = log->report_records(7, { { "a", 3 } });
     auto const expected_end = log->end();
-    auto const sent = log->records_of_report(7, { { "a", 5 } });
+    auto const sent = log->report_records(7, { { "a", 5 } });
     REQUIRE(store.append({ sent, expected_end }));
-    log->appended(sent, expected_end);
-    store.lose_last(1);
+    log->append_succeeded(sent, expected_end);
+    store.restore_without_last(1);
     REQUIRE(store.append({ late, expected_end }));
     SUBCASE("a successor that knows nothing of it")
     {
-        auto const next = claimed(store, 2);
+        auto const next = append_claim(store, 2);
         CHECK(next->reports().empty());
         CHECK(store.read().first_window(7) == 8);
     }
     SUBCASE("the leader that sent it")
     {
         auto next = store.read();
-        auto const records = next.records_of_claim(claim_of(1, next, 7), log->reports());
+        auto const records = next.claim_records(claim_of(1, next, 7), log->reports());
         REQUIRE(store.append({ records, next.end() }));
         CHECK(store.read().reports().at(7).at("a") == 5);
     }
@@ -165,12 +165,12 @@
 TEST_CASE("old reports are dropped from the log as new ones are written")
 {
     Store store;
-    auto log = *claimed(store, 1);
+    auto log = *append_claim(store, 1);
     for (std::uint64_t window = 100; window < 140; ++window) {
-        auto const records = log.records_of_report(window, { { "a", window } });
+        auto const records = log.report_records(window, { { "a", window } });
         auto const offset = store.append({ records, log.end() });
         REQUIRE(offset);
-        log.appended(records, *offset);
+        log.append_succeeded(records, *offset);
     }
     CHECK(store.read().reports().size() <= 14);
     CHECK(log.reports().size() <= 26);
@@ -198,14 +198,14 @@
 
     bool happens(double chance) { return this->random() < chance * 4294967296.0; }
 
-    void look(Box& box)
+    void refresh(Box& box)
     {
         auto const known = box.log.reports();
         bool const led = box.leads;
         box.log = this->store.read();
-        auto const standing = box.log.standing(box.process);
-        box.leads = led && standing == LeaderLog::Standing::Leads;
-        if (led && standing == LeaderLog::Standing::Vacant)
+        auto const status = box.log.status(box.process);
+        box.leads = led && status == LeaderLog::Status::Leads;
+        if (led && status == LeaderLog::Status::Vacant)
             this->claim(box, known);
     }
 
@@ -213,12 +213,12 @@
     {
         box.log = this->store.read();
         box.next = box.log.first_window(this->window);
-        Store::Append const append { box.log.records_of_claim(claim_of(box.process, box.log, this->window), known),
+        Store::Append const append { box.log.claim_records(claim_of(box.process, box.log, this->window), known),
             box.log.end() };
         auto const offset = this->try_append(box, append);
         if (!offset)
             return;
-        box.log.appended(append.records, *offset);
+        box.log.append_succeeded(append.records, *offset);
         box.leads = true;
     }
 
@@ -242,13 +242,13 @@
             return;
         if (!box.log.reports().contains(box.next)) {
             AccountCounts const counts { { "a", this->random() % 100 } };
-            Store::Append const append { box.log.records_of_report(box.next, counts), box.log.end() };
+            Store::Append const append { box.log.report_records(box.next, counts), box.log.end() };
             auto const offset = this->try_append(box, append);
             if (!offset) {
-                this->look(box);
+                this->refresh(box);
                 return;
             }
-            box.log.appended(append.records, *offset);
+            box.log.append_succeeded(append.records, *offset);
         }
         ++box.next;
     }
@@ -269,7 +269,7 @@
     {
         auto& box = this->boxes[this->random(3)];
         if (this->happens(0.02))
-            this->store.lose_last(this->random(4));
+            this->store.restore_without_last(this->random(4));
         if (this->happens(0.3))
             ++this->window;
         for (auto& other : this->boxes) {
@@ -280,7 +280,7 @@
         }
         switch (this->random(5)) {
         case 0:
-            this->look(box);
+            this->refresh(box);
             break;
         case 1:
             if (this->happens(0.2))
--- a/Tests/LibLeader/TestUsage.cpp
+++ b/Tests/LibLeader/TestUsage.cpp
@@ -30,10 +30,10 @@
 TEST_CASE("sums that are told twice, late or out of order count once")
 {
     UsageLedger ledger;
-    ledger.take(1, { { 7, { { "a", 4 }, { "b", 1 } } } });
-    ledger.take(1, { { 7, { { "a", 2 } } } });
-    ledger.take(1, { { 7, { { "a", 4 } } }, { 8, { { "a", 1 } } } });
-    ledger.take(2, { { 7, { { "a", 3 } } } });
+    ledger.merge(1, { { 7, { { "a", 4 }, { "b", 1 } } } });
+    ledger.merge(1, { { 7, { { "a", 2 } } } });
+    ledger.merge(1, { { 7, { { "a", 4 } } }, { 8, { { "a", 1 } } } });
+    ledger.merge(2, { { 7, { { "a", 3 } } } });
     CHECK(ledger.total(7) == AccountCounts { { "a", 7 }, { "b", 1 } });
     CHECK(ledger.total(8) == AccountCounts { { "a", 1 } });
     CHECK(ledger.total(9).empty());
@@ -43,8 +43,8 @@
 TEST_CASE("a box that starts again counts as another process beside its earlier life")
 {
     UsageLedger ledger;
-    ledger.take(1, { { 7, { { "a", 4 } } } });
-    ledger.take(11, { { 7, { { "a", 2 } } } });
+    ledger.merge(1, { { 7, { { "a", 4 } } } });
+    ledger.merge(11, { { 7, { { "a", 2 } } } });
     CHECK(ledger.total(7).at("a") == 6);
 }
 
@@ -63,10 +63,10 @@
     clock.start(some_day, at(0));
     for (std::uint64_t process = 1; process <= 6; ++process) {
         auto const step = process <= 2 ? 2 * second : 0;
-        clock.hear(process, some_day + second + step, at(1000));
+        clock.add_sample(process, some_day + second + step, at(1000));
     }
     // The leader's own clock has stepped back by three seconds.
-    clock.agree(some_day - 2 * second, at(1000));
+    clock.update_from_samples(some_day - 2 * second, at(1000));
     CHECK(clock.unix_microseconds(at(1000)) == some_day + second);
     CHECK(clock.clocks() == 7);
 }
@@ -75,12 +75,12 @@
 {
     SharedClock clock;
     clock.start(some_day, at(0));
-    clock.hear(1, some_day + 5 * second, at(0));
-    clock.agree(some_day + 9 * second, at(0));
+    clock.add_sample(1, some_day + 5 * second, at(0));
+    clock.update_from_samples(some_day + 9 * second, at(0));
     CHECK(clock.unix_microseconds(at(0)) == some_day);
-    clock.follow(some_day + 9 * second, 2, at(0));
+    clock.adopt(some_day + 9 * second, 2, at(0));
     CHECK(clock.unix_microseconds(at(0)) == some_day);
-    clock.follow(some_day + 9 * second, 5, at(0));
+    clock.adopt(some_day + 9 * second, 5, at(0));
     CHECK(clock.unix_microseconds(at(500)) == some_day + 9 * second + second / 2);
 }
 
@@ -89,7 +89,7 @@
     SharedClock clock;
     clock.start(some_day, at(0));
     for (std::uint64_t process = 1; process <= 6; ++process)
-        clock.hear(process, some_day + 7 * second, at(0));
-    clock.agree(some_day + 20 * second, at(20'000));
+        clock.add_sample(process, some_day + 7 * second, at(0));
+    clock.update_from_samples(some_day + 20 * second, at(20'000));
     CHECK(clock.unix_microseconds(at(20'000)) == some_day + 20 * second);
 }
