--- a/Fuzz/FuzzRecords.cpp
+++ b/Fuzz/FuzzRecords.cpp
@@ -2,7 +2,7 @@
 /// up. The first byte chooses the reader.
 
 #include <LibMembership/CrashMessages.h>
-#include <LibMembership/EndpointNewsMessage.h>
+#include <LibMembership/EndpointNoticeMessage.h>
 #include <LibMembership/LoadMessages.h>
 #include <LibMembership/RelayMessages.h>
 #include <cstddef>
@@ -49,7 +49,7 @@
         static_cast<void>(Membership::decode_box("b", text));
         break;
     case 5:
-        static_cast<void>(Membership::decode_question(text));
+        static_cast<void>(Membership::decode_request(text));
         break;
     case 6:
         static_cast<void>(Membership::decode_answer(text));
@@ -65,14 +65,14 @@
     }
     case 9: {
         constexpr Core::Instant now = Core::Instant {} + std::chrono::hours(100);
-        auto const news = Membership::decode_endpoint_news(text, now);
-        if (news && Membership::decode_endpoint_news(Membership::encode(*news, now), now) != news)
+        auto const news = Membership::decode_endpoint_notices(text, now);
+        if (news && Membership::decode_endpoint_notices(Membership::encode(*news, now), now) != news)
             std::abort();
         break;
     }
     default: {
         constexpr std::int64_t now = 1'790'000'000'000;
-        auto const crash = Membership::decode_record(text, now);
+        auto const crash = Membership::decode_crash_record(text, now);
         if (crash && crash->age > Routing::CrashLedger::memory)
             std::abort();
         break;
--- a/Libraries/LibGateway/BoxRegistry.cpp
+++ b/Libraries/LibGateway/BoxRegistry.cpp
@@ -36,18 +36,18 @@
         if (std::exchange(this->has_to_read, false))
             co_await sleep_for(this->spread(short_pause) - short_pause);
         if (auto boxes = co_await this->read()) {
-            this->source.take_boxes(std::move(*boxes), monotonic_now());
+            this->source.update_boxes(std::move(*boxes), monotonic_now());
             this->state.metrics.set_boxes(this->source.boxes().size());
             this->on_boxes();
             auto const* const listed = this->source.boxes().find(this->own.name);
             bool const is_listed = listed && *listed == this->own;
             if (is_listed)
-                pause = this->source.list_pause(readings++, monotonic_now());
+                pause = this->source.list_interval(readings++, monotonic_now());
             else
                 static_cast<void>(co_await this->write(own_record));
             co_await this->drop_left_over_records();
         } else {
-            this->source.boxes_unknown();
+            this->source.boxes_unavailable();
             this->on_boxes();
         }
         co_await this->write_kept(monotonic_now() + this->spread(pause));
@@ -142,7 +142,7 @@
 
 Task<void> BoxRegistry::drop_left_over_records()
 {
-    for (auto const& name : this->source.long_gone(monotonic_now())) {
+    for (auto const& name : this->source.unresponsive_boxes(monotonic_now())) {
         Adapter::KeyedRecord const dropped { name, std::nullopt };
         static_cast<void>(co_await this->write(dropped));
     }
--- a/Libraries/LibGateway/ControlPlane.cpp
+++ b/Libraries/LibGateway/ControlPlane.cpp
@@ -72,7 +72,7 @@
 {
     if (!this->ports) {
         // NOTE: Without an address of its own a box is asked by nobody, and it asks nobody either.
-        this->source.boxes_unknown();
+        this->source.boxes_unavailable();
         if (this->leader_settings)
             Log::EventLine("leader_impossible").with("reason", "the settings give no ports between boxes").warning();
         return true;
@@ -119,8 +119,9 @@
         = [this](auto const& address, auto const& bytes) { this->loads->send_to_address(address, bytes); };
     auto const to_some = [this](auto const& bytes, std::size_t boxes) { this->loads->send(bytes, boxes); };
     this->leadership.emplace(this->state, this->source.boxes(), own, process, this->store, settings.lease,
-        this->is_first_start,
-        Leadership::Ways { to_box, to_some, [this](Core::Instant now) { return this->source.hears_others(now); } });
+        this->is_first_start, Leadership::Ways { to_box, to_some, [this](Core::Instant now) {
+                                                    return this->source.has_recent_contact(now);
+                                                } });
     this->records.set_leader_news({ [this](Core::Instant now) { return this->leadership->news(now); },
         [this](Leadership::News const& news) { this->leadership->take_news(news); } });
     if (settings.reports_usage)
@@ -180,13 +181,13 @@
 
 bool ControlPlane::take_endpoint_news(std::string_view bytes, Routing::SocketAddress const& from)
 {
-    auto const message = Membership::decode_endpoint_news(bytes, monotonic_now());
+    auto const message = Membership::decode_endpoint_notices(bytes, monotonic_now());
     if (!message)
         return false;
     this->state.endpoint_news.hear(
         *message, [this, &from](std::string const& answer) { this->loads->send_to_address(from, answer); });
     // NOTE: Behind what it asked for, since it ends the asker's wait.
-    if (message->asks)
+    if (message->requests_all)
         this->loads->tell_one(from);
     return true;
 }
@@ -257,7 +258,7 @@
 
 void ControlPlane::woke(Core::Instant now)
 {
-    this->source.woke(now);
+    this->source.after_suspension(now);
     this->operator_follower.woke();
     this->endpoints_follower.woke();
     this->relay_follower.wake();
@@ -269,7 +270,7 @@
 {
     if (path != control_path)
         return { status_not_found, "" };
-    auto const question = Membership::decode_question(body);
+    auto const question = Membership::decode_request(body);
     if (!question)
         return { status_bad_request, "" };
     // NOTE: A box that stops sends those that rely on it away while it still runs.
@@ -277,7 +278,7 @@
         return { status_unavailable, "" };
     auto const now = monotonic_now();
     bool const was_relay = this->source.is_relay(now);
-    this->source.was_asked(question->asker_domain, now);
+    this->source.request_received(question->requester_domain, now);
     if (!was_relay) {
         Log::EventLine("relay_begun").info();
         this->wake_followers();
--- a/Libraries/LibGateway/ControlRecords.cpp
+++ b/Libraries/LibGateway/ControlRecords.cpp
@@ -61,7 +61,7 @@
 {
     if (this->version_in_store < this->version_told)
         return false;
-    if (!this->history.risen_at())
+    if (!this->history.era_began_at())
         return true;
     // NOTE: A copy may lack the version that took a key away. What this box holds is the newest that was known before,
     // so it is served until its lease ends; after that only what the operator has written again is proof.
@@ -71,10 +71,10 @@
 
 bool ControlRecords::hear_era(std::uint64_t era, std::optional<Instant> risen_at, Instant now)
 {
-    auto const heard = this->history.hear(era, risen_at, now);
-    if (heard == Membership::StoreHistory::Heard::LaterHistory)
+    auto const heard = this->history.observe(era, risen_at, now);
+    if (heard == Membership::StoreHistory::Relation::LaterHistory)
         this->begin_era(now);
-    return heard != Membership::StoreHistory::Heard::EarlierHistory;
+    return heard != Membership::StoreHistory::Relation::EarlierHistory;
 }
 
 void ControlRecords::begin_era(Instant now)
@@ -248,9 +248,9 @@
         return;
     }
     if (record.draining)
-        this->departed.left(Routing::life_of(record), monotonic_now());
+        this->departed.add(Routing::life_of(record), monotonic_now());
     else
-        this->departed.came_back(Routing::life_of(record));
+        this->departed.remove(Routing::life_of(record));
     this->journal.put(record);
     if (!this->state.router.put_endpoint(record))
         return;
@@ -270,7 +270,7 @@
     bool const may_come_back = this->returned_at && now - *this->returned_at <= stale_list_time;
     auto const* const known = this->journal.find(incarnation);
     if (known != nullptr && !may_come_back)
-        this->departed.left(Routing::life_of(*known), now);
+        this->departed.add(Routing::life_of(*known), now);
     if (!this->journal.remove(incarnation))
         return;
     this->state.router.remove_endpoint(incarnation, monotonic_now());
@@ -280,7 +280,7 @@
 void ControlRecords::replace_endpoints(std::vector<Routing::EndpointRecord> records)
 {
     auto const now = monotonic_now();
-    if (this->history.risen_at() && now - *this->history.risen_at() <= stale_list_time)
+    if (this->history.era_began_at() && now - *this->history.era_began_at() <= stale_list_time)
         this->departed.remove_from(records, now);
     this->journal.replace_all(records);
     this->state.router.replace_endpoints(records, monotonic_now());
@@ -314,14 +314,14 @@
     return configuration ? configuration->version() : 0;
 }
 
-Membership::ControlQuestion ControlRecords::question(Instant now) const
+Membership::ControlRequest ControlRecords::question(Instant now) const
 {
     return { this->relayed_source, this->relayed_source == 0 ? 0 : this->relayed_revision, this->version(),
         this->box_name, this->state.router.work_totals(now), this->failure_domain };
 }
 
 std::optional<Membership::ControlAnswer> ControlRecords::answer(
-    Membership::ControlQuestion const& question, std::size_t longest_configuration, Instant now)
+    Membership::ControlRequest const& question, std::size_t longest_configuration, Instant now)
 {
     auto const& endpoints_next = this->endpoints_position.offset;
     auto const& operator_next = this->operator_position.offset;
@@ -334,8 +334,8 @@
     answer.endpoints_next = *endpoints_next;
     // NOTE: Until both topics were read anew this box knows the earlier history, and says so.
     answer.store_era = std::min(this->endpoints_position.era, this->operator_position.era);
-    if (auto const& risen_at = this->history.risen_at(); risen_at && answer.store_era == this->era())
-        answer.store_era_risen_ago = now - *risen_at;
+    if (auto const& risen_at = this->history.era_began_at(); risen_at && answer.store_era == this->era())
+        answer.store_era_began_ago = now - *risen_at;
     answer.configuration_version = this->version();
     if (question.configuration_version < this->version()) {
         auto compressed = this->compressed_configuration();
@@ -349,11 +349,11 @@
     if (this->returned_at)
         answer.store_returned_ago = now - *this->returned_at;
     if (auto const news = this->leader_news.own ? this->leader_news.own(now) : std::nullopt) {
-        answer.leader_news = news->bytes;
-        answer.leader_news_age = now - news->told_at;
+        answer.leader_announcement = news->bytes;
+        answer.leader_announcement_age = now - news->told_at;
     }
-    if (question.asker_domain.empty() || question.asker_domain == this->failure_domain)
-        this->demand_of_askers.take(question.asker, question.work, now);
+    if (question.requester_domain.empty() || question.requester_domain == this->failure_domain)
+        this->demand_of_askers.update(question.requester, question.work, now);
     this->state.router.take_totals_of_others(this->demand_of_askers.totals(now), now);
     answer.answer_shares = this->state.router.answer_shares(now);
     return answer;
@@ -362,8 +362,8 @@
 bool ControlRecords::take_relayed(
     Membership::ControlAnswer const& answer, std::string const& relay_domain, Instant asked_at)
 {
-    if (this->leader_news.take && !answer.leader_news.empty())
-        this->leader_news.take({ answer.leader_news, asked_at - answer.leader_news_age });
+    if (this->leader_news.take && !answer.leader_announcement.empty())
+        this->leader_news.take({ answer.leader_announcement, asked_at - answer.leader_announcement_age });
     // NOTE: The relay measured the ages after the question was sent, so these moments are never too late.
     auto const endpoints_vouched_at = asked_at - answer.endpoints_age;
     auto const configuration_vouched_at = asked_at - answer.configuration_age;
@@ -392,19 +392,19 @@
     return true;
 }
 
-Membership::StoreKnowledge ControlRecords::knowledge(Instant now) const
+Membership::StoreVersions ControlRecords::knowledge(Instant now) const
 {
-    auto const& risen_at = this->history.risen_at();
+    auto const& risen_at = this->history.era_began_at();
     auto const known_since = this->state.router.configuration_known_since();
     return { this->version(), this->era(), risen_at ? std::optional(now - *risen_at) : std::nullopt,
         known_since ? std::optional(now - *known_since) : std::nullopt };
 }
 
-void ControlRecords::take_knowledge(Membership::StoreKnowledge const& told, Instant told_at)
+void ControlRecords::take_knowledge(Membership::StoreVersions const& told, Instant told_at)
 {
-    bool const is_of_copy = told.store_era != 0 && told.store_era == this->era() && told.era_risen_ago;
+    bool const is_of_copy = told.store_era != 0 && told.store_era == this->era() && told.era_began_ago;
     if (is_of_copy)
-        static_cast<void>(this->hear_era(told.store_era, told_at - *told.era_risen_ago, told_at));
+        static_cast<void>(this->hear_era(told.store_era, told_at - *told.era_began_ago, told_at));
     // NOTE: Only what the store may have lost: a box that starts can't tell from its first reading. A box learns all
     // else from the store or its relay.
     bool const has_started = monotonic_now() - this->started_at > start_time;
--- a/Libraries/LibGateway/ControlRecords.h
+++ b/Libraries/LibGateway/ControlRecords.h
@@ -66,19 +66,19 @@
     [[nodiscard]] bool knows(Adapter::Topic topic) const { return this->position(topic).offset.has_value(); }
 
     // Between boxes.
-    [[nodiscard]] Membership::ControlQuestion question(Core::Instant now) const;
+    [[nodiscard]] Membership::ControlRequest question(Core::Instant now) const;
     /// Nothing until both topics were read whole. A configuration that takes more than `longest_configuration` bytes
     /// when compressed is left out. The first answer that holds a version compresses it, so only a box that is asked
     /// does.
     [[nodiscard]] std::optional<Membership::ControlAnswer> answer(
-        Membership::ControlQuestion const& question, std::size_t longest_configuration, Core::Instant now);
+        Membership::ControlRequest const& question, std::size_t longest_configuration, Core::Instant now);
     /// Takes what a relay of this failure domain, or of another one, answered to a question sent at `asked_at`. False
     /// if it knows of a configuration that it did not pass on.
     bool take_relayed(Membership::ControlAnswer const& answer, std::string const& relay_domain, Core::Instant asked_at);
 
     // Between all boxes, beside their load.
-    [[nodiscard]] Membership::StoreKnowledge knowledge(Core::Instant now) const;
-    void take_knowledge(Membership::StoreKnowledge const& told, Core::Instant told_at);
+    [[nodiscard]] Membership::StoreVersions knowledge(Core::Instant now) const;
+    void take_knowledge(Membership::StoreVersions const& told, Core::Instant told_at);
 
     /// Whether the endpoints were read whole at least once.
     [[nodiscard]] bool knows_endpoints() const { return this->endpoints_confirmed_at.has_value(); }
--- a/Libraries/LibGateway/CrashNews.cpp
+++ b/Libraries/LibGateway/CrashNews.cpp
@@ -7,7 +7,7 @@
 using Core::Instant;
 using Core::monotonic_now;
 using Membership::CrashMessage;
-using Membership::most_news_in_message;
+using Membership::max_crash_entries_per_message;
 using Routing::CrashLedger;
 
 namespace {
@@ -73,7 +73,8 @@
     // NOTE: Only the box that saw the last crash writes it: one call to the store for a refused request.
     if (verdict.refused_for && this->to_store)
         this->to_store(Membership::crash_key(report.request),
-            Membership::encode_record({ { report.request, report.endpoint, verdict.crashes }, Core::Duration { 0 } },
+            Membership::encode_crash_record(
+                { { report.request, report.endpoint, verdict.crashes }, Core::Duration { 0 } },
                 Core::wall_clock_milliseconds()));
 }
 
@@ -159,7 +160,7 @@
 
 void CrashNews::take_stored(std::string const& key, std::string const& value)
 {
-    auto const crash = Membership::decode_record(value, Core::wall_clock_milliseconds());
+    auto const crash = Membership::decode_crash_record(value, Core::wall_clock_milliseconds());
     if (!crash || Membership::crash_key(crash->report.request) != key) {
         this->metrics.count_bad_record("crash");
         Log::EventLine("crash_record_rejected").with("key", key).with("bytes", value.size()).warning();
@@ -236,7 +237,7 @@
     std::size_t count = 0;
     for (auto position = this->pending.begin(); position != this->pending.end();) {
         auto const current = position++;
-        if (current->due > now || count >= most_news_in_message)
+        if (current->due > now || count >= max_crash_entries_per_message)
             continue;
         ++count;
         std::visit(AddTo { message, now }, current->news);
@@ -256,7 +257,7 @@
     if (refused.empty() || !this->to_boxes)
         return;
     CrashMessage message;
-    for (std::size_t index = 0; index < std::min(refused.size(), most_news_in_message); ++index) {
+    for (std::size_t index = 0; index < std::min(refused.size(), max_crash_entries_per_message); ++index) {
         auto const& report = refused[this->next_refused++ % refused.size()];
         auto const left = this->ledger.verdict(report.request, now).refused_for.value_or(Core::Duration { 0 });
         message.crashes.push_back({ report, CrashLedger::quarantine - left });
--- a/Libraries/LibGateway/EndpointNews.cpp
+++ b/Libraries/LibGateway/EndpointNews.cpp
@@ -6,8 +6,8 @@
 namespace Gateway {
 
 using Core::monotonic_now;
-using Membership::EndpointNewsMessage;
-using Membership::most_notices_in_message;
+using Membership::EndpointNoticeMessage;
+using Membership::max_notices_per_message;
 
 namespace {
 
@@ -26,9 +26,9 @@
 /// Calls `send` with messages that hold all of the notices.
 template <typename Send> void in_messages(std::vector<Routing::EndpointNotice> const& notices, Send send)
 {
-    for (std::size_t first = 0; first < notices.size(); first += most_notices_in_message) {
-        auto const end = std::min(first + most_notices_in_message, notices.size());
-        EndpointNewsMessage message;
+    for (std::size_t first = 0; first < notices.size(); first += max_notices_per_message) {
+        auto const end = std::min(first + max_notices_per_message, notices.size());
+        EndpointNoticeMessage message;
         message.notices.assign(
             notices.begin() + static_cast<std::ptrdiff_t>(first), notices.begin() + static_cast<std::ptrdiff_t>(end));
         send(Membership::encode(message, monotonic_now()));
@@ -56,8 +56,8 @@
     auto const notices = this->router.notices_worth_telling(monotonic_now());
     if (notices.empty() || !this->to_boxes)
         return;
-    EndpointNewsMessage message;
-    for (std::size_t number = 0; number < std::min(notices.size(), most_notices_in_message); ++number)
+    EndpointNoticeMessage message;
+    for (std::size_t number = 0; number < std::min(notices.size(), max_notices_per_message); ++number)
         message.notices.push_back(notices[this->next_told++ % notices.size()]);
     this->to_boxes(Membership::encode(message, monotonic_now()), some_boxes);
 }
@@ -78,14 +78,14 @@
         this->to_boxes(Membership::encode({ { *news.notice }, false }, monotonic_now()), all_boxes);
 }
 
-void EndpointNews::hear(EndpointNewsMessage const& message, Reply const& reply)
+void EndpointNews::hear(EndpointNoticeMessage const& message, Reply const& reply)
 {
     auto const now = monotonic_now();
     for (auto const& notice : message.notices) {
         if (this->router.take_notice(notice, now))
             log_change(notice, "box");
     }
-    if (message.asks)
+    if (message.requests_all)
         in_messages(this->router.notices_worth_telling(now), reply);
 }
 
--- a/Libraries/LibGateway/EndpointNews.h
+++ b/Libraries/LibGateway/EndpointNews.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/Asio.h>
-#include <LibMembership/EndpointNewsMessage.h>
+#include <LibMembership/EndpointNoticeMessage.h>
 #include <LibRouting/RequestRouter.h>
 
 #include <functional>
@@ -35,7 +35,7 @@
     void answered(
         Routing::Placed const& placed, Routing::RequestRouter::SelfReport const& report, Core::Instant sent_at);
     /// Another box told it.
-    void hear(Membership::EndpointNewsMessage const& message, Reply const& reply);
+    void hear(Membership::EndpointNoticeMessage const& message, Reply const& reply);
 
 private:
     void tell_some();
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -134,7 +134,7 @@
     if (!age)
         return;
     this->state.router.take_load_report(message->sender, message->report, now - *age);
-    this->knowledge.take(message->knowledge, now - *age);
+    this->knowledge.take(message->store_versions, now - *age);
 }
 
 }
--- a/Libraries/LibGateway/LoadExchange.h
+++ b/Libraries/LibGateway/LoadExchange.h
@@ -18,8 +18,8 @@
 
     /// What this box tells the others beside its load, and takes from them.
     struct Knowledge {
-        std::function<Membership::StoreKnowledge(Core::Instant now)> own;
-        std::function<void(Membership::StoreKnowledge const& told, Core::Instant told_at)> take;
+        std::function<Membership::StoreVersions(Core::Instant now)> own;
+        std::function<void(Membership::StoreVersions const& told, Core::Instant told_at)> take;
     };
 
     /// `own` is the address that other boxes know this one by. `sender` names this process.
@@ -58,7 +58,7 @@
     Knowledge knowledge;
     OnOther on_other;
     udp::socket socket;
-    Membership::MessageAges ages;
+    Membership::MessageAgeTracker ages;
     /// Where the next report begins among the others, so that all are told in turn where not all are each time.
     std::size_t next_receiver { 0 };
 };
--- a/Libraries/LibGateway/RelayFollower.cpp
+++ b/Libraries/LibGateway/RelayFollower.cpp
@@ -12,7 +12,7 @@
 /// When the relay heard of the beginning of the store's present history; nothing if it heard of no earlier one.
 std::optional<Core::Instant> risen_at(Membership::ControlAnswer const& answer, Core::Instant asked_at)
 {
-    return answer.store_era_risen_ago ? std::optional(asked_at - *answer.store_era_risen_ago) : std::nullopt;
+    return answer.store_era_began_ago ? std::optional(asked_at - *answer.store_era_began_ago) : std::nullopt;
 }
 
 }
@@ -59,7 +59,7 @@
     auto const asked_at = monotonic_now();
     Core::LastReason reason;
     auto const question = Membership::encode(this->records.question(asked_at));
-    auto const reply = co_await this->call(question, this->source.patience_with(relay, asked_at), reason);
+    auto const reply = co_await this->call(question, this->source.relay_timeout_for(relay, asked_at), reason);
     if (!reply) {
         this->note_failure(relay, reason.text);
         co_return false;
@@ -109,7 +109,7 @@
 {
     // NOTE: Guards against a relay that answers by drops. Where no piece is late a call may last for 27 s, and for as
     // long the next box of the order would not be asked.
-    auto const longest = this->source.longest_answer();
+    auto const longest = this->source.max_answer_time();
     auto const whole = std::make_shared<CallWatch>(
         this->state.context, CallTimeouts { longest, longest }, [this] { this->connection->abort(); });
     whole->start();
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -84,7 +84,7 @@
     // NOTE: Only while the other one has the same reason to read; else it rests, and nobody would try the store.
     auto const now = monotonic_now();
     bool const have_same_reason = this->records.knows(this->topic) && !this->is_behind && !this->is_read_wanted;
-    return have_same_reason && this->source.reads_store(now) && this->source.tries_one_topic(now);
+    return have_same_reason && this->source.reads_store(now) && this->source.retries_one_topic(now);
 }
 
 StoreFollower::Pace const& StoreFollower::pace() const
--- a/Libraries/LibMembership/CompressedText.cpp
+++ b/Libraries/LibMembership/CompressedText.cpp
@@ -21,7 +21,7 @@
 /// Bytes that are made at a time.
 constexpr std::size_t piece_size = 16UL * 1024;
 /// RFC 1951: at best one bit names 258 bytes' length and one their distance, so a byte stands for at most 1,032.
-constexpr std::uint64_t most_text_for_a_byte = 1032;
+constexpr std::uint64_t max_text_per_byte = 1032;
 /// What an empty stored block looks like. Texts end with one and not with the format's own end, since the library's
 /// reader looks further ahead than the shortest codes are long and finds no end where nothing follows it.
 constexpr std::string_view end_marker { "\0\0\xff\xff", 4 };
@@ -67,7 +67,7 @@
 
 std::optional<CompressedText> CompressedText::of(std::string_view text, Core::LastReason& last_reason)
 {
-    if (text.size() > largest_text) {
+    if (text.size() > max_text_size) {
         last_reason.text = "text too long to be passed on";
         return {};
     }
@@ -83,11 +83,11 @@
 std::optional<CompressedText> CompressedText::from_bytes(
     std::string bytes, std::uint64_t text_size, Core::LastReason& last_reason)
 {
-    if (text_size > largest_text) {
+    if (text_size > max_text_size) {
         last_reason.text = "compressed text too long";
         return {};
     }
-    if (text_size > bytes.size() * most_text_for_a_byte) {
+    if (text_size > bytes.size() * max_text_per_byte) {
         last_reason.text = "compressed text longer than its bytes can hold";
         return {};
     }
--- a/Libraries/LibMembership/CompressedText.h
+++ b/Libraries/LibMembership/CompressedText.h
@@ -36,7 +36,7 @@
 
     /// Longest text, in bytes: as long as the longest answer of the store, from which every such text comes. Bounds
     /// what a message of some kilobytes can make a box allocate.
-    static constexpr std::size_t largest_text = 16UL * 1024 * 1024;
+    static constexpr std::size_t max_text_size = 16UL * 1024 * 1024;
 
 private:
     CompressedText(std::string bytes, std::size_t text_size);
--- a/Libraries/LibMembership/ControlSource.cpp
+++ b/Libraries/LibMembership/ControlSource.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Enough to come from any first pause to the longest.
-constexpr unsigned most_doublings = 10;
+constexpr unsigned max_doublings = 10;
 
 }
 
@@ -20,39 +20,39 @@
 {
 }
 
-void ControlSource::woke(Instant now)
+void ControlSource::after_suspension(Instant now)
 {
-    this->waits_until = now + this->patience();
-    this->vouched_at.reset();
+    this->waits_until = now + this->relay_timeout();
+    this->confirmed_at.reset();
     this->stale_since.reset();
-    this->troubles.clear();
+    this->relay_failures.clear();
 }
 
-void ControlSource::take_boxes(std::vector<BoxRecord> records, Instant now)
+void ControlSource::update_boxes(std::vector<BoxRecord> records, Instant now)
 {
     if (!this->is_started)
-        this->waits_until = now + this->patience();
+        this->waits_until = now + this->relay_timeout();
     this->is_started = true;
     this->directory.replace_all(std::move(records));
     this->order = this->directory.in_order(this->failure_domain);
-    this->find_leaders();
-    std::erase_if(this->troubles, [this](auto const& entry) { return !this->directory.find(entry.first); });
+    this->update_domain_relays();
+    std::erase_if(this->relay_failures, [this](auto const& entry) { return !this->directory.find(entry.first); });
 }
 
 std::vector<BoxRecord> ControlSource::candidates() const
 {
-    if (this->order.size() < fewest_boxes)
+    if (this->order.size() < min_boxes_for_relays)
         return {};
     std::vector<BoxRecord> before_own;
     for (auto const& box : this->order) {
-        if (box.name == this->box_name || before_own.size() == most_candidates)
+        if (box.name == this->box_name || before_own.size() == max_candidates)
             break;
         before_own.push_back(box);
     }
     return before_own;
 }
 
-void ControlSource::find_leaders()
+void ControlSource::update_domain_relays()
 {
     std::set<std::string> domains;
     for (auto const& [name, box] : this->directory.all())
@@ -60,44 +60,44 @@
     std::vector<BoxRecord> first_boxes;
     for (auto const& domain : domains) {
         auto const of_domain = this->directory.in_order(domain);
-        if (of_domain.size() >= fewest_boxes)
+        if (of_domain.size() >= min_boxes_for_relays)
             first_boxes.push_back(of_domain.front());
     }
-    this->leaders = BoxDirectory::in_order(std::move(first_boxes));
+    this->domain_relays = BoxDirectory::in_order(std::move(first_boxes));
 }
 
 std::vector<BoxRecord> ControlSource::candidates(Instant now) const
 {
-    if (this->is_asked_by_domains(now))
+    if (this->serves_other_domains(now))
         return {};
     auto boxes = this->is_relay(now) ? std::vector<BoxRecord> {} : this->candidates();
-    if (this->order.size() < fewest_boxes)
+    if (this->order.size() < min_boxes_for_relays)
         return boxes;
     std::size_t of_other_domains = 0;
-    for (auto const& leader : this->leaders) {
-        if (leader.failure_domain == this->failure_domain || of_other_domains == most_candidates)
+    for (auto const& domain_relay : this->domain_relays) {
+        if (domain_relay.failure_domain == this->failure_domain || of_other_domains == max_candidates)
             break;
-        boxes.push_back(leader);
+        boxes.push_back(domain_relay);
         ++of_other_domains;
     }
     return boxes;
 }
 
-std::vector<BoxRecord> ControlSource::last_resort(Instant now) const
+std::vector<BoxRecord> ControlSource::fallback_relays(Instant now) const
 {
-    if (!this->is_cut_off(now))
+    if (!this->is_store_unreachable(now))
         return {};
     std::vector<BoxRecord> boxes;
-    for (auto const& leader : this->leaders) {
-        if (leader.failure_domain != this->failure_domain)
-            boxes.push_back(leader);
+    for (auto const& domain_relay : this->domain_relays) {
+        if (domain_relay.failure_domain != this->failure_domain)
+            boxes.push_back(domain_relay);
     }
     if (this->order.empty())
         return boxes;
     // NOTE: Each begins at another place, and at others as time goes on, so that they don't all ask the same ones.
-    auto const turn = static_cast<std::uint64_t>(now.time_since_epoch() / turn_of_last_resort);
-    auto const begin = XXH3_64bits(this->box_name.data(), this->box_name.size()) + turn * most_of_last_resort;
-    for (std::size_t index = 0; index < std::min(most_of_last_resort, this->order.size()); ++index) {
+    auto const rotation = static_cast<std::uint64_t>(now.time_since_epoch() / fallback_rotation);
+    auto const begin = XXH3_64bits(this->box_name.data(), this->box_name.size()) + rotation * max_fallback_peers;
+    for (std::size_t index = 0; index < std::min(max_fallback_peers, this->order.size()); ++index) {
         auto const& box = this->order[(begin + index) % this->order.size()];
         if (box.name != this->box_name)
             boxes.push_back(box);
@@ -105,24 +105,24 @@
     return boxes;
 }
 
-bool ControlSource::is_in_trouble(BoxRecord const& box, Instant now) const
+bool ControlSource::is_backed_off(BoxRecord const& box, Instant now) const
 {
-    auto const trouble = this->troubles.find(box.name);
-    return trouble != this->troubles.end() && now < trouble->second.retry_at;
+    auto const failure = this->relay_failures.find(box.name);
+    return failure != this->relay_failures.end() && now < failure->second.retry_at;
 }
 
-std::optional<BoxRecord> ControlSource::best_of(std::vector<BoxRecord> const& boxes, Instant now) const
+std::optional<BoxRecord> ControlSource::first_usable(std::vector<BoxRecord> const& boxes, Instant now) const
 {
     std::optional<BoxRecord> stale;
     std::optional<Instant> stale_retry_at;
     for (auto const& box : boxes) {
-        if (!this->is_in_trouble(box, now))
+        if (!this->is_backed_off(box, now))
             return box;
-        auto const& trouble = this->troubles.at(box.name);
-        if (!trouble.is_stale || (stale && trouble.retry_at >= *stale_retry_at))
+        auto const& failure = this->relay_failures.at(box.name);
+        if (!failure.is_stale || (stale && failure.retry_at >= *stale_retry_at))
             continue;
         stale = box;
-        stale_retry_at = trouble.retry_at;
+        stale_retry_at = failure.retry_at;
     }
     return stale;
 }
@@ -131,70 +131,70 @@
 {
     auto boxes = this->candidates(now);
     // NOTE: A box that the others rely on is the last to hear from them what the store says, unless it lost the store.
-    for (auto& box : this->last_resort(now)) {
+    for (auto& box : this->fallback_relays(now)) {
         if (std::ranges::find(boxes, box) == boxes.end())
             boxes.push_back(std::move(box));
     }
-    return this->best_of(boxes, now);
+    return this->first_usable(boxes, now);
 }
 
-void ControlSource::relay_answered(std::string const& name, Instant vouched, Instant now)
+void ControlSource::relay_answered(std::string const& name, Instant data_confirmed_at, Instant now)
 {
-    this->heard_at = now;
-    if (!this->is_recent(vouched, now)) {
-        this->note_stale_answer(name, now);
+    this->last_contact_at = now;
+    if (!this->is_recent(data_confirmed_at, now)) {
+        this->record_stale_answer(name, now);
         return;
     }
     this->stale_since.reset();
-    this->troubles.erase(name);
-    this->vouched_at = std::max(this->vouched_at.value_or(vouched), vouched);
+    this->relay_failures.erase(name);
+    this->confirmed_at = std::max(this->confirmed_at.value_or(data_confirmed_at), data_confirmed_at);
 }
 
-void ControlSource::note_stale_answer(std::string const& name, Instant now)
+void ControlSource::record_stale_answer(std::string const& name, Instant now)
 {
     // NOTE: A box that is asked for the first time has to read the store first, so it gets some time.
     if (!this->stale_since)
         this->stale_since = now;
-    if (!this->is_cut_off(now) && now - *this->stale_since <= this->patience())
+    if (!this->is_store_unreachable(now) && now - *this->stale_since <= this->relay_timeout())
         return;
     // NOTE: It lives, so it is asked again in its turn: whoever hears of the store first is found that way.
-    auto& trouble = this->troubles[name];
-    auto const pause = trouble.is_stale ? std::min(trouble.pause * 2, longest_stale_pause) : first_retry_pause;
-    trouble = { now, now + pause, pause, true };
+    auto& failure = this->relay_failures[name];
+    auto const pause = failure.is_stale ? std::min(failure.pause * 2, max_stale_pause) : first_relay_pause;
+    failure = { now, now + pause, pause, true };
     this->stale_since.reset();
 }
 
 void ControlSource::relay_failed(std::string const& name, Instant now)
 {
     bool const is_starting = this->awaits_first_answer(now);
-    auto const [position, is_new] = this->troubles.try_emplace(name);
-    auto& trouble = position->second;
-    if (is_new || trouble.is_stale)
-        trouble = { now, now, first_retry_pause / 2, false };
+    auto const [position, is_new] = this->relay_failures.try_emplace(name);
+    auto& failure = position->second;
+    if (is_new || failure.is_stale)
+        failure = { now, now, first_relay_pause / 2, false };
     // NOTE: Where all boxes lost power the others of the order may be up a moment later.
-    trouble.pause = is_starting ? this->patience() : std::min(trouble.pause * 2, longest_retry_pause);
-    trouble.retry_at = now + trouble.pause;
+    failure.pause = is_starting ? this->relay_timeout() : std::min(failure.pause * 2, max_relay_pause);
+    failure.retry_at = now + failure.pause;
     this->stale_since.reset();
 }
 
-void ControlSource::was_asked(std::string const& asker_domain, Instant now)
+void ControlSource::request_received(std::string const& requester_domain, Instant now)
 {
-    this->heard_at = now;
-    bool const is_own = asker_domain.empty() || asker_domain == this->failure_domain;
-    (is_own ? this->asked_at : this->asked_by_domain_at) = now;
+    this->last_contact_at = now;
+    bool const is_own = requester_domain.empty() || requester_domain == this->failure_domain;
+    (is_own ? this->requested_at : this->requested_by_other_domain_at) = now;
 }
 
 bool ControlSource::reads_store(Instant now) const
 {
     if (this->is_relay(now) && !this->relay(now))
         return true;
-    if (this->vouched_at)
-        return !this->is_recent(*this->vouched_at, now);
+    if (this->confirmed_at)
+        return !this->is_recent(*this->confirmed_at, now);
     // NOTE: A box that has just started asks a relay first, which spares it the first reads of the store.
     if (!this->is_started)
         return false;
-    bool const is_first_question = this->troubles.empty() && !this->stale_since && this->relay(now);
-    bool const may_wait = is_first_question && this->waits_until && now < *this->waits_until;
+    bool const is_first_request = this->relay_failures.empty() && !this->stale_since && this->relay(now);
+    bool const may_wait = is_first_request && this->waits_until && now < *this->waits_until;
     return !may_wait;
 }
 
@@ -204,100 +204,100 @@
         return false;
     if (!this->is_started)
         return true;
-    return !this->leads_domain(now) && this->relay(now);
+    return !this->is_first_in_domain(now) && this->relay(now);
 }
 
-bool ControlSource::leads_domain(Instant now) const
+bool ControlSource::is_first_in_domain(Instant now) const
 {
-    if (this->order.size() < fewest_boxes)
+    if (this->order.size() < min_boxes_for_relays)
         return false;
     auto const before = this->candidates();
-    return before.size() < most_candidates
-        && std::ranges::all_of(before, [&](BoxRecord const& box) { return this->is_in_trouble(box, now); });
+    return before.size() < max_candidates
+        && std::ranges::all_of(before, [&](BoxRecord const& box) { return this->is_backed_off(box, now); });
 }
 
-bool ControlSource::hears_others(Instant now) const
+bool ControlSource::has_recent_contact(Instant now) const
 {
-    if (this->order.size() < fewest_boxes)
+    if (this->order.size() < min_boxes_for_relays)
         return true;
-    return this->heard_at && now - *this->heard_at <= asked_memory;
+    return this->last_contact_at && now - *this->last_contact_at <= contact_timeout;
 }
 
 bool ControlSource::is_relay(Instant now) const
 {
-    return this->is_asked_by_domains(now) || (this->asked_at && now - *this->asked_at <= asked_memory);
+    return this->serves_other_domains(now) || (this->requested_at && now - *this->requested_at <= contact_timeout);
 }
 
-bool ControlSource::is_asked_by_domains(Instant now) const
+bool ControlSource::serves_other_domains(Instant now) const
 {
-    return this->asked_by_domain_at && now - *this->asked_by_domain_at <= asked_memory;
+    return this->requested_by_other_domain_at && now - *this->requested_by_other_domain_at <= contact_timeout;
 }
 
-bool ControlSource::is_cut_off(Instant now) const
+bool ControlSource::is_store_unreachable(Instant now) const
 {
-    return this->store_failed_at && now - *this->store_failed_at <= cut_off_memory;
+    return this->store_failed_at && now - *this->store_failed_at <= store_failure_retention;
 }
 
-bool ControlSource::is_one_of_many(Instant now) const
+bool ControlSource::has_preferred_peers(Instant now) const
 {
-    return this->order.size() >= fewest_boxes && !this->leads_domain(now);
+    return this->order.size() >= min_boxes_for_relays && !this->is_first_in_domain(now);
 }
 
 Duration ControlSource::poll_interval(Instant now) const
 {
     if (this->awaits_first_answer(now))
         return this->poll_interval() / 8;
-    if (this->is_cut_off(now))
+    if (this->is_store_unreachable(now))
         return this->poll_interval() / 4;
-    return this->leads_domain(now) ? this->poll_interval() / 2 : this->poll_interval();
+    return this->is_first_in_domain(now) ? this->poll_interval() / 2 : this->poll_interval();
 }
 
-Duration ControlSource::patience_with(BoxRecord const& relay, Instant now) const
+Duration ControlSource::relay_timeout_for(BoxRecord const& relay, Instant now) const
 {
     if (this->awaits_first_answer(now))
         return this->poll_interval() / 4;
-    return relay.failure_domain == this->failure_domain ? this->patience() : this->patience() * 2 / 3;
+    return relay.failure_domain == this->failure_domain ? this->relay_timeout() : this->relay_timeout() * 2 / 3;
 }
 
-Duration ControlSource::list_pause(unsigned readings, Instant now) const
+Duration ControlSource::list_interval(unsigned reads, Instant now) const
 {
-    auto const crowd = static_cast<double>(this->directory.size()) / static_cast<double>(boxes_with_usual_list_pause);
-    auto const longest = Core::from_seconds(Core::to_seconds(usual_list_pause) * std::max(1.0, crowd));
+    auto const scale = static_cast<double>(this->directory.size()) / static_cast<double>(boxes_with_base_list_interval);
+    auto const max_pause = Core::from_seconds(Core::to_seconds(base_list_interval) * std::max(1.0, scale));
     if (this->relay(now))
-        return longest;
-    return std::min(first_list_pause * (1U << std::min(readings, most_doublings)), longest);
+        return max_pause;
+    return std::min(first_list_interval * (1U << std::min(reads, max_doublings)), max_pause);
 }
 
 Duration ControlSource::retry_pause(unsigned failures, Instant now) const
 {
     auto first = first_store_pause;
-    auto longest = longest_store_pause;
-    if (this->is_one_of_many(now)) {
-        auto const crowd = static_cast<double>(this->directory.size()) / static_cast<double>(boxes_with_short_pauses);
-        auto const crowded = Core::from_seconds(Core::to_seconds(longest_store_pause) * std::max(1.0, crowd));
-        longest = std::min(crowded, longest_crowd_pause);
-        first = std::max(first, longest / 2);
+    auto max_pause = max_store_pause;
+    if (this->has_preferred_peers(now)) {
+        auto const scale = static_cast<double>(this->directory.size()) / static_cast<double>(boxes_with_short_pauses);
+        auto const scaled = Core::from_seconds(Core::to_seconds(max_store_pause) * std::max(1.0, scale));
+        max_pause = std::min(scaled, max_scaled_store_pause);
+        first = std::max(first, max_pause / 2);
     }
-    auto const pause = std::min(first * (1U << std::min(failures, most_doublings)), longest);
+    auto const pause = std::min(first * (1U << std::min(failures, max_doublings)), max_pause);
     /// Boxes that lost the store together come back spread over half of the pause.
-    constexpr double least_share = 0.75;
+    constexpr double min_share = 0.75;
     constexpr double spread_share = 0.5;
     constexpr std::uint64_t steps = 1024;
     auto const step = XXH3_64bits_withSeed(this->box_name.data(), this->box_name.size(), failures) % steps;
     auto const share = static_cast<double>(step) / static_cast<double>(steps);
-    return Core::from_seconds(Core::to_seconds(pause) * (least_share + spread_share * share));
+    return Core::from_seconds(Core::to_seconds(pause) * (min_share + spread_share * share));
 }
 
-bool ControlSource::is_recent(Instant vouched, Instant now) const
+bool ControlSource::is_recent(Instant data_confirmed_at, Instant now) const
 {
-    return now - vouched <= this->oldest();
+    return now - data_confirmed_at <= this->max_age();
 }
 
-std::vector<std::string> ControlSource::long_gone(Instant now) const
+std::vector<std::string> ControlSource::unresponsive_boxes(Instant now) const
 {
     std::vector<std::string> names;
-    for (auto const& [name, trouble] : this->troubles) {
-        if (now - trouble.since > gone_after)
+    for (auto const& [name, failure] : this->relay_failures) {
+        if (now - failure.since > unresponsive_after)
             names.push_back(name);
     }
     return names;
--- a/Libraries/LibMembership/ControlSource.h
+++ b/Libraries/LibMembership/ControlSource.h
@@ -31,25 +31,25 @@
 public:
     ControlSource(std::string box_name, std::string failure_domain, ControlBounds bounds);
 
-    void set_bounds(ControlBounds changed) { this->bounds = changed; }
+    void set_bounds(ControlBounds new_bounds) { this->bounds = new_bounds; }
     /// A box that has just started waits until then, at most, for the list of boxes before it reads the store.
     void wait_for_boxes(Instant until) { this->waits_until = until; }
     /// This box was suspended until now, and others may wake with it: as after a start, relays are asked first, so that
     /// not all of them read the store at once.
-    void woke(Instant now);
+    void after_suspension(Instant now);
     /// The store told which boxes there are.
-    void take_boxes(std::vector<BoxRecord> records, Instant now);
+    void update_boxes(std::vector<BoxRecord> records, Instant now);
     /// The store could not be asked which boxes there are.
-    void boxes_unknown() { this->is_started = true; }
+    void boxes_unavailable() { this->is_started = true; }
 
     /// The relay to ask now; nothing for none.
     [[nodiscard]] std::optional<BoxRecord> relay(Instant now) const;
     /// The relay vouched for everything up to `vouched_at`.
-    void relay_answered(std::string const& name, Instant vouched_at, Instant now);
+    void relay_answered(std::string const& name, Instant confirmed_at, Instant now);
     /// The relay gave no answer that can be used.
     void relay_failed(std::string const& name, Instant now);
     /// A box of this failure domain, or of another one, asked this one; an empty name stands for the own domain.
-    void was_asked(std::string const& asker_domain, Instant now);
+    void request_received(std::string const& requester_domain, Instant now);
     /// This box's own reads of the store fail, or work again.
     void store_failed(Instant now) { this->store_failed_at = now; }
     void store_answered() { this->store_failed_at.reset(); }
@@ -59,20 +59,20 @@
     /// Whether a box that has just started and knows nothing yet leaves the store alone, since a relay will tell it.
     [[nodiscard]] bool awaits_first_answer(Instant now) const;
     /// Whether this box is the one that its failure domain asks, as far as it knows.
-    [[nodiscard]] bool leads_domain(Instant now) const;
+    [[nodiscard]] bool is_first_in_domain(Instant now) const;
     /// Whether other boxes answered this one or asked it lately. Where failure domains are too small for relays nothing
     /// is known of that, and it is taken to be so.
-    [[nodiscard]] bool hears_others(Instant now) const;
+    [[nodiscard]] bool has_recent_contact(Instant now) const;
     /// Whether other boxes take what the store says from this one.
     [[nodiscard]] bool is_relay(Instant now) const;
     /// Whether what a relay vouches for up to this moment is recent enough.
-    [[nodiscard]] bool is_recent(Instant vouched_at, Instant now) const;
+    [[nodiscard]] bool is_recent(Instant confirmed_at, Instant now) const;
     [[nodiscard]] BoxDirectory const& boxes() const { return this->directory; }
     /// Boxes that gave no answer for so long that their records are taken to be left over.
-    [[nodiscard]] std::vector<std::string> long_gone(Instant now) const;
+    [[nodiscard]] std::vector<std::string> unresponsive_boxes(Instant now) const;
 
     /// How often a relay is asked.
-    [[nodiscard]] Duration poll_interval() const { return this->tightest() / 10; }
+    [[nodiscard]] Duration poll_interval() const { return this->tightest_bound() / 10; }
     /// The same at this moment. The first box of a domain asks twice as often, so that its domain learns of the loss of
     /// the reader before what it knows is too old: else each box of the domain would read the store. A box that knows
     /// nothing yet asks eight times as often: it refuses its clients until then. One that can't reach the store asks
@@ -80,32 +80,32 @@
     [[nodiscard]] Duration poll_interval(Instant now) const;
     /// Longest silence of a relay, before its answer and within it. One that hangs must leave time for a read of the
     /// store.
-    [[nodiscard]] Duration patience() const { return this->tightest() * 3 / 20; }
+    [[nodiscard]] Duration relay_timeout() const { return this->tightest_bound() * 3 / 20; }
     /// The same with this relay. One of another domain stands before a whole domain, so it is left sooner. A box that
     /// knows nothing yet leaves a relay sooner still: one that lives answers within some 10 ms, one that has no power
     /// yet says nothing, and the box refuses its clients until it knows something.
-    [[nodiscard]] Duration patience_with(BoxRecord const& relay, Instant now) const;
+    [[nodiscard]] Duration relay_timeout_for(BoxRecord const& relay, Instant now) const;
     /// Pause after so many readings of a list of boxes that holds this one. A box that has a relay reads it seldom, and
     /// the more seldom the more boxes there are. One that reads the store itself looks soon, since it may have started
     /// a moment before the others: it would stay a reader beside the one of all.
-    [[nodiscard]] Duration list_pause(unsigned readings, Instant now) const;
+    [[nodiscard]] Duration list_interval(unsigned reads, Instant now) const;
     /// Pause after so many failed reads of the store in a row.
     [[nodiscard]] Duration retry_pause(unsigned failures, Instant now) const;
     /// Whether a box that gets no answer from the store goes on trying it for the endpoints alone, and for the
     /// configuration when that was answered, which spares the store a part of the calls of hundreds of boxes. The boxes
     /// that others wait for try it for both.
-    [[nodiscard]] bool tries_one_topic(Instant now) const { return this->is_one_of_many(now); }
+    [[nodiscard]] bool retries_one_topic(Instant now) const { return this->has_preferred_peers(now); }
     /// Longest time for a relay's whole answer: one that takes longer is too old to be used when it has come, since it
     /// vouches for no later moment than its question.
-    [[nodiscard]] Duration longest_answer() const { return this->oldest(); }
+    [[nodiscard]] Duration max_answer_time() const { return this->max_age(); }
     /// Pause between a relay's reads of the endpoints.
-    [[nodiscard]] Duration read_interval() const { return this->tightest() / 5; }
+    [[nodiscard]] Duration read_interval() const { return this->tightest_bound() / 5; }
     /// Longest wait of a relay's read of the configuration. What an answer vouches for is as old as the read is long,
     /// and stays in use for as long again; this leaves room for a store that takes a quarter of a second.
-    [[nodiscard]] Duration read_wait() const { return this->tightest() / 8; }
+    [[nodiscard]] Duration read_wait() const { return this->tightest_bound() / 8; }
 
 private:
-    struct Trouble {
+    struct RelayFailure {
         Instant since;
         Instant retry_at;
         Duration pause { 0 };
@@ -113,11 +113,14 @@
         bool is_stale { false };
     };
 
-    [[nodiscard]] Duration oldest() const
+    [[nodiscard]] Duration max_age() const
     {
-        return Core::from_seconds(Core::to_seconds(this->tightest()) * share_of_bounds);
+        return Core::from_seconds(Core::to_seconds(this->tightest_bound()) * max_age_share);
+    }
+    [[nodiscard]] Duration tightest_bound() const
+    {
+        return std::min(this->bounds.apply_within, this->bounds.drain_within);
     }
-    [[nodiscard]] Duration tightest() const { return std::min(this->bounds.apply_within, this->bounds.drain_within); }
     /// The boxes of the own failure domain that this one may ask, in order; empty if it comes first itself or the
     /// domain has too few.
     [[nodiscard]] std::vector<BoxRecord> candidates() const;
@@ -125,59 +128,59 @@
     [[nodiscard]] std::vector<BoxRecord> candidates(Instant now) const;
     /// The boxes that one which can't reach the store asks beside these: the first of every other domain, then a
     /// few of its own, others each time. Where the store serves half of the boxes, one in two knows something recent.
-    [[nodiscard]] std::vector<BoxRecord> last_resort(Instant now) const;
-    [[nodiscard]] bool is_in_trouble(BoxRecord const& box, Instant now) const;
-    [[nodiscard]] bool is_cut_off(Instant now) const;
+    [[nodiscard]] std::vector<BoxRecord> fallback_relays(Instant now) const;
+    [[nodiscard]] bool is_backed_off(BoxRecord const& box, Instant now) const;
+    [[nodiscard]] bool is_store_unreachable(Instant now) const;
     /// Whether other boxes of the domain are asked before this one.
-    [[nodiscard]] bool is_one_of_many(Instant now) const;
+    [[nodiscard]] bool has_preferred_peers(Instant now) const;
     /// Whether a box of another domain takes what the store says from this one.
-    [[nodiscard]] bool is_asked_by_domains(Instant now) const;
+    [[nodiscard]] bool serves_other_domains(Instant now) const;
     /// The first of the given boxes that is not in trouble; of those that answer with what is too old, the one that was
     /// not asked for longest.
-    [[nodiscard]] std::optional<BoxRecord> best_of(std::vector<BoxRecord> const& boxes, Instant now) const;
-    void find_leaders();
-    void note_stale_answer(std::string const& name, Instant now);
+    [[nodiscard]] std::optional<BoxRecord> first_usable(std::vector<BoxRecord> const& boxes, Instant now) const;
+    void update_domain_relays();
+    void record_stale_answer(std::string const& name, Instant now);
 
     /// Part of the bounds that what a relay vouches for may be old. The rest is for noticing it and for a read of the
     /// store, which takes a quarter of a second when the store is slow.
-    static constexpr double share_of_bounds = 0.55;
+    static constexpr double max_age_share = 0.55;
     /// In smaller failure domains a relay saves too little for what can go wrong with it.
-    static constexpr std::size_t fewest_boxes = 4;
+    static constexpr std::size_t min_boxes_for_relays = 4;
     /// So many boxes are asked at most, so that a store out of reach doesn't make every box a relay.
-    static constexpr std::size_t most_candidates = 3;
+    static constexpr std::size_t max_candidates = 3;
     /// A relay that failed is asked again after this, and twice as long after each further failure.
-    static constexpr Duration first_retry_pause { std::chrono::seconds(3) };
-    static constexpr Duration longest_retry_pause { std::chrono::seconds(60) };
+    static constexpr Duration first_relay_pause { std::chrono::seconds(3) };
+    static constexpr Duration max_relay_pause { std::chrono::seconds(60) };
     /// The same of one that answers, but with what is too old: the store may be back for it at any moment.
-    static constexpr Duration longest_stale_pause { std::chrono::seconds(12) };
+    static constexpr Duration max_stale_pause { std::chrono::seconds(12) };
     /// A box that was not asked for this long is no relay any more. Several intervals of asking at any bounds seen.
-    static constexpr Duration asked_memory { std::chrono::seconds(2) };
+    static constexpr Duration contact_timeout { std::chrono::seconds(2) };
     /// After a failed read of its own a box counts as cut off from the store for so long: longer than the longest pause
     /// until its next one, else it would ask nobody in between.
-    static constexpr Duration cut_off_memory { std::chrono::seconds(10) };
+    static constexpr Duration store_failure_retention { std::chrono::seconds(10) };
     /// The list is only advice, and a box that is missing from it costs calls and nothing else.
-    static constexpr Duration usual_list_pause { std::chrono::seconds(60) };
+    static constexpr Duration base_list_interval { std::chrono::seconds(60) };
     /// With more boxes the pause grows with their number, so that the list is read no more often the more there are.
-    static constexpr std::size_t boxes_with_usual_list_pause = 30;
+    static constexpr std::size_t boxes_with_base_list_interval = 30;
     /// Of a box that reads the store itself; doubled with each reading.
-    static constexpr Duration first_list_pause { std::chrono::seconds(2) };
+    static constexpr Duration first_list_interval { std::chrono::seconds(2) };
     /// Boxes of the own domain among those that a box which can't reach the store asks: with the first boxes of all
     /// domains some ten, which it asks in turn in a quarter of the bound.
-    static constexpr std::size_t most_of_last_resort = 4;
+    static constexpr std::size_t max_fallback_peers = 4;
     /// For so long they are the same: each is asked once.
-    static constexpr Duration turn_of_last_resort { std::chrono::seconds(2) };
+    static constexpr Duration fallback_rotation { std::chrono::seconds(2) };
     /// After the first failed read of the store, which may have been one lost answer.
     static constexpr Duration first_store_pause { std::chrono::milliseconds(100) };
     /// Of a box that its domain relies on, and of each where there are few.
-    static constexpr Duration longest_store_pause { std::chrono::milliseconds(800) };
+    static constexpr Duration max_store_pause { std::chrono::milliseconds(800) };
     /// So many boxes may try the store that often; with more, each but the first of a domain pauses as much longer, so
     /// that the calls of all don't grow with their number.
     static constexpr std::size_t boxes_with_short_pauses = 16;
     /// A box that no relay helps is without the store for so long at most: a little more than the time for which
     /// configurations are good.
-    static constexpr Duration longest_crowd_pause { std::chrono::milliseconds(6400) };
+    static constexpr Duration max_scaled_store_pause { std::chrono::milliseconds(6400) };
     /// A record whose box gave no answer for this long is taken to be left over: longer than any restart.
-    static constexpr Duration gone_after { std::chrono::minutes(5) };
+    static constexpr Duration unresponsive_after { std::chrono::minutes(5) };
 
     std::string box_name;
     std::string failure_domain;
@@ -186,17 +189,17 @@
     /// The order in which boxes of this failure domain are asked.
     std::vector<BoxRecord> order;
     /// The first box of each failure domain that has a relay, in the same order.
-    std::vector<BoxRecord> leaders;
-    std::map<std::string, Trouble> troubles;
+    std::vector<BoxRecord> domain_relays;
+    std::map<std::string, RelayFailure> relay_failures;
     /// Since when the relay asked answers with what is too old; nothing if it does not.
     std::optional<Instant> stale_since;
     /// The last moment that a relay vouched for.
-    std::optional<Instant> vouched_at;
-    std::optional<Instant> asked_at;
-    std::optional<Instant> asked_by_domain_at;
+    std::optional<Instant> confirmed_at;
+    std::optional<Instant> requested_at;
+    std::optional<Instant> requested_by_other_domain_at;
     std::optional<Instant> store_failed_at;
     /// When another box last asked this one or answered it.
-    std::optional<Instant> heard_at;
+    std::optional<Instant> last_contact_at;
     /// Whether the directory was read or could not be. Until then a box waits, since a relay would save its first
     /// reads.
     bool is_started { false };
--- a/Libraries/LibMembership/CrashMessages.cpp
+++ b/Libraries/LibMembership/CrashMessages.cpp
@@ -1,6 +1,6 @@
 #include <LibMembership/CrashMessages.h>
 
-#include <LibMembership/EndpointLifeWire.h>
+#include <LibMembership/EndpointInstanceWire.h>
 #include <algorithm>
 #include <chrono>
 #include <limits>
@@ -13,42 +13,44 @@
 
 constexpr std::string_view crash_key_prefix = "crash/";
 
-void write(wire::Fingerprint& told, Routing::RequestFingerprint request)
+void write(wire::Fingerprint& wire_message, Routing::RequestFingerprint request)
 {
-    told.set_account(request.account);
-    told.set_content(request.content);
+    wire_message.set_account(request.account);
+    wire_message.set_content(request.content);
 }
 
-Routing::RequestFingerprint read(wire::Fingerprint const& told)
+Routing::RequestFingerprint read(wire::Fingerprint const& wire_message)
 {
-    return { told.account(), told.content() };
+    return { wire_message.account(), wire_message.content() };
 }
 
-bool is_count(std::uint32_t count)
+bool is_valid_count(std::uint32_t count)
 {
     return count > 0 && count <= Routing::CrashLedger::most_crashes;
 }
 
-bool is_sound(wire::Crash const& told)
+bool is_valid(wire::Crash const& wire_message)
 {
-    return is_count(told.count()) && is_sound_life(told.endpoint());
+    return is_valid_count(wire_message.count()) && is_valid_instance(wire_message.endpoint());
 }
 
 /// An age from another box, cut off where nothing depends on it any more.
 Duration bounded_age(std::uint64_t microseconds)
 {
-    auto const longest = static_cast<std::uint64_t>(Routing::CrashLedger::memory.count());
-    return Duration { static_cast<Duration::rep>(std::min(microseconds, longest)) };
+    auto const max_age = static_cast<std::uint64_t>(Routing::CrashLedger::memory.count());
+    return Duration { static_cast<Duration::rep>(std::min(microseconds, max_age)) };
 }
 
-bool is_sound(wire::CrashMessage const& told)
+bool is_valid(wire::CrashMessage const& wire_message)
 {
-    constexpr int most = static_cast<int>(most_news_in_message);
-    if (told.crashes_size() > most || told.cleared_size() > most || told.answering_size() > most
-        || told.probed_size() > most || told.probes_ended_size() > most)
+    constexpr int max_entries = static_cast<int>(max_crash_entries_per_message);
+    if (wire_message.crashes_size() > max_entries || wire_message.cleared_size() > max_entries
+        || wire_message.answering_size() > max_entries || wire_message.probed_size() > max_entries
+        || wire_message.probes_ended_size() > max_entries)
         return false;
-    return std::ranges::all_of(told.crashes(), [](auto const& crash) { return is_sound(crash); })
-        && std::ranges::all_of(told.answering(), [](auto const& endpoint) { return is_sound_life(endpoint); });
+    return std::ranges::all_of(wire_message.crashes(), [](auto const& crash) { return is_valid(crash); })
+        && std::ranges::all_of(
+            wire_message.answering(), [](auto const& endpoint) { return is_valid_instance(endpoint); });
 }
 
 }
@@ -57,16 +59,16 @@
 {
     wire::CrashMessage encoded;
     for (auto const& crash : message.crashes) {
-        auto& told = *encoded.add_crashes();
-        write(*told.mutable_request(), crash.report.request);
-        write_life(*told.mutable_endpoint(), crash.report.endpoint);
-        told.set_count(crash.report.count);
-        told.set_age_us(static_cast<std::uint64_t>(std::max<Duration::rep>(crash.age.count(), 0)));
+        auto& wire_message = *encoded.add_crashes();
+        write(*wire_message.mutable_request(), crash.report.request);
+        write_instance(*wire_message.mutable_endpoint(), crash.report.endpoint);
+        wire_message.set_count(crash.report.count);
+        wire_message.set_age_us(static_cast<std::uint64_t>(std::max<Duration::rep>(crash.age.count(), 0)));
     }
     for (auto const& request : message.cleared)
         write(*encoded.add_cleared(), request);
     for (auto const& endpoint : message.answering)
-        write_life(*encoded.add_answering(), endpoint);
+        write_instance(*encoded.add_answering(), endpoint);
     for (auto const& request : message.probed)
         write(*encoded.add_probed(), request);
     for (auto const& request : message.probes_ended)
@@ -76,20 +78,20 @@
 
 std::optional<CrashMessage> decode_crashes(std::string_view bytes)
 {
-    wire::CrashMessage told;
-    if (!told.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !is_sound(told))
+    wire::CrashMessage wire_message;
+    if (!wire_message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !is_valid(wire_message))
         return {};
     CrashMessage message;
-    for (auto const& crash : told.crashes())
+    for (auto const& crash : wire_message.crashes())
         message.crashes.push_back(
-            { { read(crash.request()), read_life(crash.endpoint()), crash.count() }, bounded_age(crash.age_us()) });
-    for (auto const& request : told.cleared())
+            { { read(crash.request()), read_instance(crash.endpoint()), crash.count() }, bounded_age(crash.age_us()) });
+    for (auto const& request : wire_message.cleared())
         message.cleared.push_back(read(request));
-    for (auto const& endpoint : told.answering())
-        message.answering.push_back(read_life(endpoint));
-    for (auto const& request : told.probed())
+    for (auto const& endpoint : wire_message.answering())
+        message.answering.push_back(read_instance(endpoint));
+    for (auto const& request : wire_message.probed())
         message.probed.push_back(read(request));
-    for (auto const& request : told.probes_ended())
+    for (auto const& request : wire_message.probes_ended())
         message.probes_ended.push_back(read(request));
     if (message.is_empty())
         return {};
@@ -106,30 +108,30 @@
     return key.starts_with(crash_key_prefix);
 }
 
-std::string encode_record(TimedCrash const& crash, std::int64_t now_unix_milliseconds)
+std::string encode_crash_record(TimedCrash const& crash, std::int64_t now_unix_milliseconds)
 {
     auto const age = std::chrono::duration_cast<std::chrono::milliseconds>(crash.age).count();
     wire::CrashRecord record;
     write(*record.mutable_request(), crash.report.request);
-    write_life(*record.mutable_endpoint(), crash.report.endpoint);
+    write_instance(*record.mutable_endpoint(), crash.report.endpoint);
     record.set_count(crash.report.count);
     record.set_crashed_at_unix_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(now_unix_milliseconds - age, 0)));
     return record.SerializeAsString();
 }
 
-std::optional<TimedCrash> decode_record(std::string_view bytes, std::int64_t now_unix_milliseconds)
+std::optional<TimedCrash> decode_crash_record(std::string_view bytes, std::int64_t now_unix_milliseconds)
 {
     constexpr std::uint64_t microseconds_per_millisecond = 1000;
     wire::CrashRecord record;
     if (!record.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return {};
-    if (!is_count(record.count()) || !is_sound_life(record.endpoint()))
+    if (!is_valid_count(record.count()) || !is_valid_instance(record.endpoint()))
         return {};
     auto const now = static_cast<std::uint64_t>(std::max<std::int64_t>(now_unix_milliseconds, 0));
     auto const age = now - std::min(record.crashed_at_unix_ms(), now);
-    auto const longest = std::numeric_limits<std::uint64_t>::max() / microseconds_per_millisecond;
-    return TimedCrash { { read(record.request()), read_life(record.endpoint()), record.count() },
-        bounded_age(std::min(age, longest) * microseconds_per_millisecond) };
+    auto const max_age = std::numeric_limits<std::uint64_t>::max() / microseconds_per_millisecond;
+    return TimedCrash { { read(record.request()), read_instance(record.endpoint()), record.count() },
+        bounded_age(std::min(age, max_age) * microseconds_per_millisecond) };
 }
 
 }
--- a/Libraries/LibMembership/CrashMessages.h
+++ b/Libraries/LibMembership/CrashMessages.h
@@ -40,7 +40,7 @@
 };
 
 /// Of each kind in one message, at most. Some 60 bytes each, so a message fits into one packet of 1,500 bytes.
-inline constexpr std::size_t most_news_in_message = 16;
+inline constexpr std::size_t max_crash_entries_per_message = 16;
 
 [[nodiscard]] std::string encode(CrashMessage const& message);
 /// Nothing for bytes that are no such message, or hold what no box tells.
@@ -50,8 +50,8 @@
 [[nodiscard]] std::string crash_key(Routing::RequestFingerprint request);
 [[nodiscard]] bool is_crash_key(std::string_view key);
 /// `now_unix_milliseconds` is this box's wall clock: the record outlives the process, and with it any other clock.
-[[nodiscard]] std::string encode_record(TimedCrash const& crash, std::int64_t now_unix_milliseconds);
+[[nodiscard]] std::string encode_crash_record(TimedCrash const& crash, std::int64_t now_unix_milliseconds);
 /// Clocks that differ by seconds don't matter to a quarantine of minutes; a crash in the future is taken for one now.
-[[nodiscard]] std::optional<TimedCrash> decode_record(std::string_view bytes, std::int64_t now_unix_milliseconds);
+[[nodiscard]] std::optional<TimedCrash> decode_crash_record(std::string_view bytes, std::int64_t now_unix_milliseconds);
 
 }
--- a/Libraries/LibMembership/DemandPool.h
+++ b/Libraries/LibMembership/DemandPool.h
@@ -8,20 +8,20 @@
 class DemandPool {
 public:
     /// What a box told in its latest question, in place of what it told before.
-    void take(std::string const& asker, std::map<std::string, Routing::WorkTotals> work, Instant now);
+    void update(std::string const& requester, std::map<std::string, Routing::WorkTotals> work, Instant now);
     /// The sums over all boxes that were heard of a short while ago.
     [[nodiscard]] std::map<std::string, Routing::WorkTotals> totals(Instant now) const;
 
 private:
-    struct Heard {
+    struct Demand {
         std::map<std::string, Routing::WorkTotals> work;
         Instant at;
     };
 
     /// A box that was silent for longer asks another relay, reads the store itself or is gone.
-    static constexpr Duration memory { std::chrono::seconds(3) };
+    static constexpr Duration retention { std::chrono::seconds(3) };
 
-    std::map<std::string, Heard> boxes;
+    std::map<std::string, Demand> boxes;
 };
 
 }
--- a/Libraries/LibMembership/DepartedEndpoints.cpp
+++ b/Libraries/LibMembership/DepartedEndpoints.cpp
@@ -4,13 +4,13 @@
 
 namespace Membership {
 
-void DepartedEndpoints::left(Routing::EndpointLife const& life, Instant now)
+void DepartedEndpoints::add(Routing::EndpointLife const& life, Instant now)
 {
     this->departures.insert_or_assign(life, now);
-    if (this->departures.size() <= most_remembered)
+    if (this->departures.size() <= max_entries)
         return;
-    std::erase_if(this->departures, [now](auto const& departure) { return now - departure.second > memory; });
-    if (this->departures.size() > most_remembered)
+    std::erase_if(this->departures, [now](auto const& departure) { return now - departure.second > retention; });
+    if (this->departures.size() > max_entries)
         this->departures.erase(
             std::ranges::min_element(this->departures, {}, [](auto const& departure) { return departure.second; }));
 }
@@ -19,7 +19,7 @@
 {
     std::erase_if(records, [&](auto const& record) {
         auto const found = this->departures.find(Routing::life_of(record));
-        return found != this->departures.end() && now - found->second <= memory;
+        return found != this->departures.end() && now - found->second <= retention;
     });
 }
 
--- a/Libraries/LibMembership/DepartedEndpoints.h
+++ b/Libraries/LibMembership/DepartedEndpoints.h
@@ -12,17 +12,17 @@
 class DepartedEndpoints {
 public:
     /// The endpoint leaves, or its entry went.
-    void left(Routing::EndpointLife const& life, Instant now);
+    void add(Routing::EndpointLife const& life, Instant now);
     /// It wrote its entry again.
-    void came_back(Routing::EndpointLife const& life) { this->departures.erase(life); }
+    void remove(Routing::EndpointLife const& life) { this->departures.erase(life); }
     /// Takes the endpoints that left out of a list that may be older than what is known.
     void remove_from(std::vector<Routing::EndpointRecord>& records, Instant now) const;
 
 private:
     /// Older than any copy from which the store comes back, and than any server that serves on after its entry went.
-    static constexpr Duration memory { std::chrono::seconds(60) };
+    static constexpr Duration retention { std::chrono::seconds(60) };
     /// Some 60 bytes each.
-    static constexpr std::size_t most_remembered = 1024;
+    static constexpr std::size_t max_entries = 1024;
 
     std::map<Routing::EndpointLife, Instant> departures;
 };
--- a/Libraries/LibMembership/EndpointJournal.cpp
+++ b/Libraries/LibMembership/EndpointJournal.cpp
@@ -23,7 +23,7 @@
     found->second.record.reset();
     found->second.changed_at = ++this->last_revision;
     ++this->removals;
-    this->forget_old_removals();
+    this->discard_old_removals();
     return true;
 }
 
@@ -51,7 +51,7 @@
 
 EndpointChanges EndpointJournal::changes_since(std::uint64_t revision) const
 {
-    bool const is_whole = revision == 0 || revision < this->forgotten_up_to || revision > this->last_revision;
+    bool const is_whole = revision == 0 || revision < this->discarded_up_to || revision > this->last_revision;
     EndpointChanges answer { this->last_revision, is_whole, {} };
     for (auto const& [incarnation, entry] : this->entries) {
         bool const is_new = is_whole ? entry.record.has_value() : entry.changed_at > revision;
@@ -61,9 +61,9 @@
     return answer;
 }
 
-void EndpointJournal::forget_old_removals()
+void EndpointJournal::discard_old_removals()
 {
-    if (this->removals <= most_removals)
+    if (this->removals <= max_removals)
         return;
     for (auto position = this->entries.begin(); position != this->entries.end();) {
         auto const current = position++;
@@ -71,7 +71,7 @@
             this->entries.erase(current);
     }
     this->removals = 0;
-    this->forgotten_up_to = this->last_revision;
+    this->discarded_up_to = this->last_revision;
 }
 
 }
--- a/Libraries/LibMembership/EndpointJournal.h
+++ b/Libraries/LibMembership/EndpointJournal.h
@@ -44,16 +44,16 @@
         std::uint64_t changed_at { 0 };
     };
 
-    void forget_old_removals();
+    void discard_old_removals();
 
     /// Removals that are remembered. An asker that is further behind is told the whole list.
-    static constexpr std::size_t most_removals = 256;
+    static constexpr std::size_t max_removals = 256;
 
     std::map<std::string, Entry> entries;
     std::size_t removals { 0 };
     std::uint64_t last_revision { 0 };
     /// Changes up to this revision may have been forgotten.
-    std::uint64_t forgotten_up_to { 0 };
+    std::uint64_t discarded_up_to { 0 };
 };
 
 }
--- a/Libraries/LibMembership/LoadMessages.h
+++ b/Libraries/LibMembership/LoadMessages.h
@@ -12,15 +12,15 @@
 
 /// What a box knows from the store, told beside its load: a box that starts just after the store came back from a copy
 /// reads an older configuration there than others know.
-struct StoreKnowledge {
+struct StoreVersions {
     std::uint64_t configuration_version { 0 };
     std::uint64_t store_era { 0 };
     /// How long ago the box heard that the era began; nothing if it heard of no earlier one.
-    std::optional<Duration> era_risen_ago;
+    std::optional<Duration> era_began_ago;
     /// How long the version has been known to the box or to whoever told it; nothing if neither said so.
     std::optional<Duration> configuration_known_for {};
 
-    bool operator==(StoreKnowledge const&) const = default;
+    bool operator==(StoreVersions const&) const = default;
 };
 
 /// A load report as it goes from box to box.
@@ -30,7 +30,7 @@
     /// By the sender's steady clock, which has nothing to do with that of the box that hears it.
     Instant sent_at;
     Routing::LoadReport report;
-    StoreKnowledge knowledge {};
+    StoreVersions store_versions {};
 
     bool operator==(LoadMessage const&) const = default;
 };
@@ -45,7 +45,7 @@
 /// The least difference seen between the clocks of sender and receiver belongs to the fastest message so far. A message
 /// whose difference is larger was that much longer on its way, or lay in a buffer while this box stood still. So a
 /// belief never looks fresher than it is, but for the time that the fastest message took.
-class MessageAges {
+class MessageAgeTracker {
 public:
     /// The age of a message that was read at `now`; nothing for one that an equally new or newer one overtook.
     [[nodiscard]] std::optional<Duration> age(LoadMessage const& message, Instant now);
@@ -54,13 +54,13 @@
 
 private:
     struct Sender {
-        Duration least_difference;
+        Duration min_difference;
         Instant newest_sent_at;
-        Instant heard_at;
+        Instant received_at;
     };
 
     /// Longer than any freeze of a box after which the same process goes on.
-    static constexpr Duration memory { std::chrono::seconds(60) };
+    static constexpr Duration retention { std::chrono::seconds(60) };
 
     std::map<std::uint64_t, Sender> senders;
 };
--- a/Libraries/LibMembership/RelayMessages.cpp
+++ b/Libraries/LibMembership/RelayMessages.cpp
@@ -22,8 +22,8 @@
 /// Nothing for an address that nobody can connect to.
 std::optional<SocketAddress> address_from(wire::Address const& message)
 {
-    constexpr std::uint32_t highest_port = 65535;
-    if (message.host().empty() || message.port() == 0 || message.port() > highest_port)
+    constexpr std::uint32_t max_port = 65535;
+    if (message.host().empty() || message.port() == 0 || message.port() > max_port)
         return {};
     return SocketAddress { message.host(), static_cast<std::uint16_t>(message.port()) };
 }
@@ -71,13 +71,13 @@
 }
 
 /// Nothing in place of a number that is none, is negative or has no end.
-double amount(double told)
+double non_negative(double wire_message)
 {
-    return std::isfinite(told) && told > 0 ? told : 0;
+    return std::isfinite(wire_message) && wire_message > 0 ? wire_message : 0;
 }
 
 /// What stands before the bytes of the compressed configuration in a message: the field's mark and their number.
-std::string begin_of_compressed_configuration(std::size_t size)
+std::string compressed_configuration_header(std::size_t size)
 {
     using google::protobuf::internal::WireFormatLite;
     std::string begin;
@@ -107,7 +107,7 @@
 };
 
 /// Puts the configuration of the message into the answer. False if it says what can't be.
-bool take_configuration(wire::ControlAnswer& message, ControlAnswer& answer)
+bool move_configuration(wire::ControlAnswer& message, ControlAnswer& answer)
 {
     if (message.has_configuration())
         answer.configuration = std::move(*message.mutable_configuration());
@@ -124,15 +124,15 @@
 
 }
 
-std::string encode(ControlQuestion const& question)
+std::string encode(ControlRequest const& request)
 {
     wire::ControlQuestion message;
-    message.set_source(question.source);
-    message.set_revision(question.revision);
-    message.set_configuration_version(question.configuration_version);
-    message.set_asker(question.asker);
-    message.set_asker_domain(question.asker_domain);
-    for (auto const& [service, totals] : question.work) {
+    message.set_source(request.source);
+    message.set_revision(request.revision);
+    message.set_configuration_version(request.configuration_version);
+    message.set_asker(request.requester);
+    message.set_asker_domain(request.requester_domain);
+    for (auto const& [service, totals] : request.work) {
         auto& work = *message.add_work();
         work.set_service(service);
         work.set_answer_work(totals.answer_work);
@@ -141,23 +141,23 @@
     return message.SerializeAsString();
 }
 
-std::optional<ControlQuestion> decode_question(std::string const& bytes)
+std::optional<ControlRequest> decode_request(std::string const& bytes)
 {
     /// No name of a box or a failure domain is longer, and no box has more services: a question is kept for seconds.
-    constexpr std::size_t longest_name = 256;
-    constexpr int most_services = 64;
+    constexpr std::size_t max_name_size = 256;
+    constexpr int max_services = 64;
     wire::ControlQuestion message;
     if (!message.ParseFromString(bytes))
         return {};
-    if (message.asker().size() > longest_name || message.asker_domain().size() > longest_name
-        || message.work_size() > most_services)
+    if (message.asker().size() > max_name_size || message.asker_domain().size() > max_name_size
+        || message.work_size() > max_services)
         return {};
-    ControlQuestion question { message.source(), message.revision(), message.configuration_version(), message.asker(),
-        {}, message.asker_domain() };
+    ControlRequest request { message.source(), message.revision(), message.configuration_version(), message.asker(), {},
+        message.asker_domain() };
     for (auto const& work : message.work())
-        question.work.emplace(
-            work.service(), Routing::WorkTotals { amount(work.answer_work()), amount(work.prompt_work()) });
-    return question;
+        request.work.emplace(
+            work.service(), Routing::WorkTotals { non_negative(work.answer_work()), non_negative(work.prompt_work()) });
+    return request;
 }
 
 EncodedAnswer encode(ControlAnswer const& answer)
@@ -180,19 +180,19 @@
         message.set_configuration_known_us(to_wire(*answer.configuration_known_for));
     if (answer.store_returned_ago)
         message.set_store_returned_us_ago(to_wire(*answer.store_returned_ago));
-    message.set_leader_news(answer.leader_news);
-    message.set_leader_news_age_us(to_wire(answer.leader_news_age));
+    message.set_leader_news(answer.leader_announcement);
+    message.set_leader_news_age_us(to_wire(answer.leader_announcement_age));
     message.set_store_era(answer.store_era);
-    if (answer.store_era_risen_ago)
-        message.set_store_era_risen_us_ago(to_wire(*answer.store_era_risen_ago));
+    if (answer.store_era_began_ago)
+        message.set_store_era_risen_us_ago(to_wire(*answer.store_era_began_ago));
     for (auto const& [service, share] : answer.answer_shares) {
-        auto& told = *message.add_answer_shares();
-        told.set_service(service);
-        told.set_share(share);
+        auto& wire_message = *message.add_answer_shares();
+        wire_message.set_service(service);
+        wire_message.set_share(share);
     }
     encoded.own = message.SerializeAsString();
     if (encoded.shared)
-        encoded.own += begin_of_compressed_configuration(encoded.shared->size());
+        encoded.own += compressed_configuration_header(encoded.shared->size());
     return encoded;
 }
 
@@ -214,7 +214,7 @@
     answer.endpoints_age = duration_from(message.endpoints_age_us());
     answer.endpoints_next = message.endpoints_next();
     answer.configuration_version = message.configuration_version();
-    if (!take_configuration(message, answer))
+    if (!move_configuration(message, answer))
         return {};
     answer.configuration_age = duration_from(message.configuration_age_us());
     answer.configuration_next = message.configuration_next();
@@ -222,13 +222,13 @@
         answer.configuration_known_for = duration_from(message.configuration_known_us());
     if (message.has_store_returned_us_ago())
         answer.store_returned_ago = duration_from(message.store_returned_us_ago());
-    answer.leader_news = message.leader_news();
-    answer.leader_news_age = duration_from(message.leader_news_age_us());
+    answer.leader_announcement = message.leader_news();
+    answer.leader_announcement_age = duration_from(message.leader_news_age_us());
     answer.store_era = message.store_era();
     if (message.has_store_era_risen_us_ago())
-        answer.store_era_risen_ago = duration_from(message.store_era_risen_us_ago());
-    for (auto const& told : message.answer_shares())
-        answer.answer_shares.emplace(told.service(), std::min(amount(told.share()), 1.0));
+        answer.store_era_began_ago = duration_from(message.store_era_risen_us_ago());
+    for (auto const& wire_message : message.answer_shares())
+        answer.answer_shares.emplace(wire_message.service(), std::min(non_negative(wire_message.share()), 1.0));
     return answer;
 }
 
--- a/Libraries/LibMembership/RelayMessages.h
+++ b/Libraries/LibMembership/RelayMessages.h
@@ -9,20 +9,20 @@
 namespace Membership {
 
 /// What a box asks a relay.
-struct ControlQuestion {
+struct ControlRequest {
     /// The process that the asker's list of endpoints comes from, drawn at random when it started; 0 for none.
     std::uint64_t source { 0 };
     /// The revision of that process's list.
     std::uint64_t revision { 0 };
     std::uint64_t configuration_version { 0 };
     /// Name of the box that asks.
-    std::string asker;
+    std::string requester;
     /// What the asker's recent requests ask of engines, by service.
     std::map<std::string, Routing::WorkTotals> work;
     /// Its failure domain; empty from boxes that ask within their own only.
-    std::string asker_domain;
+    std::string requester_domain;
 
-    bool operator==(ControlQuestion const&) const = default;
+    bool operator==(ControlRequest const&) const = default;
 };
 
 /// The operator's record: compressed, or as the store holds it.
@@ -50,10 +50,10 @@
     /// Which history of the store all of this is of; 0 if the relay doesn't know.
     std::uint64_t store_era { 0 };
     /// How long ago the relay heard that the era began; nothing if it heard of no earlier one.
-    std::optional<Duration> store_era_risen_ago;
+    std::optional<Duration> store_era_began_ago;
     /// The leader's last word that the relay has, as the leader told it, and how old it is; empty without any.
-    std::string leader_news;
-    Duration leader_news_age { 0 };
+    std::string leader_announcement;
+    Duration leader_announcement_age { 0 };
     /// The part of each service's engines that long answers get at all boxes that ask this relay.
     std::map<std::string, double> answer_shares;
 
@@ -72,8 +72,8 @@
 };
 
 // The forms that these take between boxes, and a box's record in the store. Decoders give nothing for other bytes.
-[[nodiscard]] std::string encode(ControlQuestion const& question);
-[[nodiscard]] std::optional<ControlQuestion> decode_question(std::string const& bytes);
+[[nodiscard]] std::string encode(ControlRequest const& request);
+[[nodiscard]] std::optional<ControlRequest> decode_request(std::string const& bytes);
 [[nodiscard]] EncodedAnswer encode(ControlAnswer const& answer);
 [[nodiscard]] std::optional<ControlAnswer> decode_answer(std::string const& bytes);
 /// All but the name, which is the record's key.
--- a/Libraries/LibMembership/StoreHistory.cpp
+++ b/Libraries/LibMembership/StoreHistory.cpp
@@ -2,20 +2,20 @@
 
 namespace Membership {
 
-StoreHistory::Heard StoreHistory::hear(std::uint64_t era, std::optional<Instant> risen_at, Instant now)
+StoreHistory::Relation StoreHistory::observe(std::uint64_t era, std::optional<Instant> era_began_at, Instant now)
 {
     if (era == 0)
-        return Heard::SameHistory;
+        return Relation::SameHistory;
     if (era < this->known_era)
-        return Heard::EarlierHistory;
+        return Relation::EarlierHistory;
     bool const is_later = this->known_era != 0 && era > this->known_era;
-    bool const is_news = is_later || this->known_era == 0 || !this->risen;
+    bool const is_first_report = is_later || this->known_era == 0 || !this->began_at;
     this->known_era = era;
     if (is_later)
-        this->risen = risen_at.value_or(now);
-    else if (is_news)
-        this->risen = risen_at;
-    return is_later ? Heard::LaterHistory : Heard::SameHistory;
+        this->began_at = era_began_at.value_or(now);
+    else if (is_first_report)
+        this->began_at = era_began_at;
+    return is_later ? Relation::LaterHistory : Relation::SameHistory;
 }
 
 }
--- a/Libraries/LibMembership/StoreHistory.h
+++ b/Libraries/LibMembership/StoreHistory.h
@@ -18,7 +18,7 @@
 class StoreHistory {
 public:
     /// What was heard against what is known.
-    enum class Heard {
+    enum class Relation {
         SameHistory,
         /// The store came back from a copy since this box last heard of it.
         LaterHistory,
@@ -28,20 +28,23 @@
 
     /// An answer, of the store or of another box, is of this era; 0 from one that doesn't tell. `risen_at` is when
     /// another box heard of the era's beginning; nothing if it heard of none, or from the store.
-    Heard hear(std::uint64_t era, std::optional<Instant> risen_at, Instant now);
+    Relation observe(std::uint64_t era, std::optional<Instant> era_began_at, Instant now);
     /// 0 before any was heard.
     [[nodiscard]] std::uint64_t era() const { return this->known_era; }
     /// When the era's beginning was heard of; nothing if this box heard of no earlier one.
-    [[nodiscard]] std::optional<Instant> const& risen_at() const { return this->risen; }
+    [[nodiscard]] std::optional<Instant> const& era_began_at() const { return this->began_at; }
     /// Whether writers may not yet have written again what the copy lacks.
-    [[nodiscard]] bool is_settling(Instant now) const { return this->risen && now - *this->risen <= settling_time; }
+    [[nodiscard]] bool is_settling(Instant now) const
+    {
+        return this->began_at && now - *this->began_at <= settling_time;
+    }
 
 private:
     /// The platform's pages say that endpoints are back within two seconds; operators' tools write as soon.
     static constexpr Duration settling_time { std::chrono::seconds(2) };
 
     std::uint64_t known_era { 0 };
-    std::optional<Instant> risen;
+    std::optional<Instant> began_at;
 };
 
 }
--- a/Tests/LibGateway/ScriptedStore.h
+++ b/Tests/LibGateway/ScriptedStore.h
@@ -112,7 +112,7 @@
         , follower(this->state, this->records, this->source, this->store.address(), topic, { pace, pace })
     {
         if (knows_boxes)
-            this->source.boxes_unknown();
+            this->source.boxes_unavailable();
         asio::co_spawn(
             this->context, [this] { return this->follower.run(); }, asio::detached);
     }
--- a/Tests/LibGateway/TestControlRecords.cpp
+++ b/Tests/LibGateway/TestControlRecords.cpp
@@ -257,7 +257,7 @@
     Box relay(1);
     relay.read(1, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e") }, at(1000));
     auto const share_after = [&](std::string const& asker_domain, Routing::WorkTotals const& work, Instant now) {
-        Membership::ControlQuestion const question { 0, 0, 1, "of " + asker_domain, { { "s", work } }, asker_domain };
+        Membership::ControlRequest const question { 0, 0, 1, "of " + asker_domain, { { "s", work } }, asker_domain };
         auto const answer = relay.records.answer(question, any_length, now);
         REQUIRE(answer);
         return relay.state.router.answer_shares(now).at("s");
--- a/Tests/LibGateway/TestCrashNews.cpp
+++ b/Tests/LibGateway/TestCrashNews.cpp
@@ -201,7 +201,7 @@
     asio::io_context context;
     Boxes::Box box(context);
     Membership::TimedCrash const crash { { request, endpoint(1), 3 }, Core::Duration { 0 } };
-    auto const record = Membership::encode_record(crash, Core::wall_clock_milliseconds());
+    auto const record = Membership::encode_crash_record(crash, Core::wall_clock_milliseconds());
     box.news.take_stored(Membership::crash_key({ 1, 8 }), record);
     box.news.take_stored(Membership::crash_key(request), "no record");
     box.news.take_stored("crash/", "");
--- a/Tests/LibGateway/TestRelayFollower.cpp
+++ b/Tests/LibGateway/TestRelayFollower.cpp
@@ -93,8 +93,8 @@
         Routing::SocketAddress const address { "127.0.0.1", this->relay.port() };
         constexpr std::uint64_t wide = 25'000'000;
         constexpr std::uint64_t narrow = 1'250'000;
-        this->source.take_boxes({ { "relay", address, "domain", wide }, { "asker", address, "domain", narrow },
-                                    { "b3", address, "domain", narrow }, { "b4", address, "domain", narrow } },
+        this->source.update_boxes({ { "relay", address, "domain", wide }, { "asker", address, "domain", narrow },
+                                      { "b3", address, "domain", narrow }, { "b4", address, "domain", narrow } },
             monotonic_now());
         asio::co_spawn(
             this->context, [this] { return this->follower.run(); }, asio::detached);
@@ -126,7 +126,7 @@
     constexpr int pieces = 20;
     Asker box(body, body.size() / pieces);
     REQUIRE(body.size() > 60'000);
-    REQUIRE(pieces * between_pieces > box.source.patience());
+    REQUIRE(pieces * between_pieces > box.source.relay_timeout());
     auto const asked_at = monotonic_now();
     REQUIRE(run_until(box.context, [&] { return box.version() == 9 || box.relay.given_up > 0; }));
     CHECK(box.version() == 9);
@@ -134,7 +134,7 @@
     CHECK(box.relay.questions == 1);
     CHECK(box.metrics().find(failed) == std::string::npos);
     auto const taken = monotonic_now() - asked_at;
-    CHECK(taken > box.source.patience());
+    CHECK(taken > box.source.relay_timeout());
     CHECK(box.state.router.configuration_age(monotonic_now()) > taken - between_pieces);
     CHECK(box.missing == 0);
 }
@@ -144,12 +144,12 @@
     auto const body = long_answer();
     constexpr int pieces = 200;
     Asker box(body, body.size() / pieces);
-    REQUIRE(pieces * between_pieces > 2 * box.source.longest_answer());
+    REQUIRE(pieces * between_pieces > 2 * box.source.max_answer_time());
     auto const asked_at = monotonic_now();
     auto const is_left = [&] { return box.metrics().find(failed) != std::string::npos; };
     REQUIRE(run_until(box.context, is_left));
     auto const left_after = monotonic_now() - asked_at;
-    CHECK(left_after >= box.source.longest_answer());
+    CHECK(left_after >= box.source.max_answer_time());
     CHECK(left_after < pieces * between_pieces);
     CHECK(box.version() == 0);
     CHECK(box.source.reads_store(monotonic_now()));
@@ -165,6 +165,6 @@
     auto const asked_at = monotonic_now();
     auto const is_left = [&] { return box.metrics().find(failed) != std::string::npos; };
     REQUIRE(run_until(box.context, is_left));
-    CHECK(monotonic_now() - asked_at < box.source.longest_answer());
+    CHECK(monotonic_now() - asked_at < box.source.max_answer_time());
     CHECK(box.version() == 0);
 }
--- a/Tests/LibGateway/TestStoreFollower.cpp
+++ b/Tests/LibGateway/TestStoreFollower.cpp
@@ -235,8 +235,8 @@
     std::vector<Membership::BoxRecord> boxes { { "box", { "127.0.0.1", 1 }, "domain", 1 } };
     for (int number = 0; number < 19; ++number)
         boxes.push_back({ "wide-" + std::to_string(number), { "127.0.0.1", 1 }, "domain", 1000 });
-    box.source.take_boxes(boxes, Core::monotonic_now());
-    REQUIRE(box.source.tries_one_topic(Core::monotonic_now()));
+    box.source.update_boxes(boxes, Core::monotonic_now());
+    REQUIRE(box.source.retries_one_topic(Core::monotonic_now()));
     asio::co_spawn(
         box.context, [&] { return endpoints.run(); }, asio::detached);
     REQUIRE(run_until(box.context, [&] { return box.version() == 3 && endpoint_calls > 1; }));
--- a/Tests/LibGateway/TestStoreFromCopy.cpp
+++ b/Tests/LibGateway/TestStoreFromCopy.cpp
@@ -220,7 +220,7 @@
     relay.records.set_next(Adapter::Topic::Endpoints, 4);
     auto const after = relay.records.answer({}, 1'000'000, now);
     CHECK(after->store_era == 2);
-    CHECK(after->store_era_risen_ago.has_value());
+    CHECK(after->store_era_began_ago.has_value());
 }
 
 TEST_CASE("an offset of before the copy is no place to read on from")
--- a/Tests/LibMembership/ControlWorld.h
+++ b/Tests/LibMembership/ControlWorld.h
@@ -35,12 +35,12 @@
     }
 
     /// Plays on for so long.
-    void play(Duration duration)
+    void run(Duration duration)
     {
         constexpr auto step = std::chrono::milliseconds(10);
         for (auto const end = this->now + duration; this->now < end; this->now += step) {
             for (auto& [name, box] : this->boxes)
-                this->play(box);
+                this->run(box);
         }
     }
 
@@ -65,14 +65,15 @@
         return names;
     }
     /// The oldest knowledge of any box that is up.
-    [[nodiscard]] Duration oldest() const
+    [[nodiscard]] Duration oldest_age() const
     {
-        Duration oldest { 0 };
+        Duration oldest_age { 0 };
         for (auto const& [name, box] : this->boxes) {
             if (box.is_up)
-                oldest = std::max(oldest, box.known_at ? this->now - *box.known_at : this->now - box.starts_at);
+                oldest_age = std::max(
+                    oldest_age, box.confirmed_at ? this->now - *box.confirmed_at : this->now - box.starts_at);
         }
-        return oldest;
+        return oldest_age;
     }
     /// How old the knowledge of each box is that is up and knows something, by name.
     [[nodiscard]] std::map<std::string, Duration> ages() const
@@ -80,15 +81,16 @@
         std::map<std::string, Duration> ages;
         for (auto const& [name, box] : this->boxes) {
             if (box.is_up)
-                ages.emplace(name, this->now - box.known_at.value_or(box.starts_at));
+                ages.emplace(name, this->now - box.confirmed_at.value_or(box.starts_at));
         }
         return ages;
     }
     /// How many boxes that are up know nothing that is as recent as this.
-    [[nodiscard]] std::size_t old_boxes(Duration recent) const
+    [[nodiscard]] std::size_t stale_boxes(Duration recent) const
     {
         return static_cast<std::size_t>(std::ranges::count_if(this->boxes, [&](auto const& entry) {
-            return entry.second.is_up && (!entry.second.known_at || this->now - *entry.second.known_at > recent);
+            return entry.second.is_up
+                && (!entry.second.confirmed_at || this->now - *entry.second.confirmed_at > recent);
         }));
     }
     /// The name of a box that reads the store for others.
@@ -106,7 +108,7 @@
     std::size_t calls { 0 };
     /// Whether the store answers a box.
     std::function<bool(std::string const&)> store_answers = [](std::string const&) { return true; };
-    std::function<bool(std::string const&)> is_dead = [](std::string const&) { return false; };
+    std::function<bool(std::string const&)> is_down = [](std::string const&) { return false; };
 
 private:
     struct Box {
@@ -114,7 +116,7 @@
         ControlSource source;
         Instant starts_at;
         bool is_up { false };
-        std::optional<Instant> known_at;
+        std::optional<Instant> confirmed_at;
         Instant polls_at;
         Instant reads_at;
         unsigned failures { 0 };
@@ -128,23 +130,23 @@
         this->boxes.insert_or_assign(record.name, std::move(box));
     }
 
-    void play(Box& box)
+    void run(Box& box)
     {
         if (this->now < box.starts_at)
             return;
-        if (this->is_dead(box.record.name)) {
+        if (this->is_down(box.record.name)) {
             box.is_up = false;
             return;
         }
         if (!box.is_up) {
             box.is_up = true;
             box.source.wait_for_boxes(this->now + std::chrono::milliseconds(300));
-            box.source.take_boxes(this->records, this->now);
+            box.source.update_boxes(this->records, this->now);
         }
         if (this->now >= box.polls_at)
             this->poll(box);
         bool const has_to_read
-            = box.known_at ? box.source.reads_store(this->now) : !box.source.awaits_first_answer(this->now);
+            = box.confirmed_at ? box.source.reads_store(this->now) : !box.source.awaits_first_answer(this->now);
         if (this->now >= box.reads_at && has_to_read)
             this->read(box);
     }
@@ -158,10 +160,10 @@
                 box.source.relay_failed(relay->name, this->now);
                 continue;
             }
-            asked.source.was_asked(box.record.failure_domain, this->now);
-            if (asked.known_at) {
-                box.source.relay_answered(relay->name, *asked.known_at, this->now);
-                box.known_at = std::max(box.known_at.value_or(*asked.known_at), *asked.known_at);
+            asked.source.request_received(box.record.failure_domain, this->now);
+            if (asked.confirmed_at) {
+                box.source.relay_answered(relay->name, *asked.confirmed_at, this->now);
+                box.confirmed_at = std::max(box.confirmed_at.value_or(*asked.confirmed_at), *asked.confirmed_at);
             } else if (!box.source.awaits_first_answer(this->now)) {
                 box.source.relay_failed(relay->name, this->now);
                 continue;
@@ -175,10 +177,10 @@
     {
         constexpr std::size_t topics = 2;
         bool const is_answered = this->store_answers(box.record.name);
-        bool const tries_one = box.known_at && box.failures > 0 && box.source.tries_one_topic(this->now);
-        this->calls += tries_one && !is_answered ? 1 : topics;
+        bool const retries_one = box.confirmed_at && box.failures > 0 && box.source.retries_one_topic(this->now);
+        this->calls += retries_one && !is_answered ? 1 : topics;
         if (is_answered) {
-            box.known_at = this->now;
+            box.confirmed_at = this->now;
             box.failures = 0;
             box.source.store_answered();
             box.reads_at = this->now + box.source.read_interval();
--- a/Tests/LibMembership/TestCompressedText.cpp
+++ b/Tests/LibMembership/TestCompressedText.cpp
@@ -113,15 +113,15 @@
 
 TEST_CASE("a few bytes make a box allocate no more than they may hold, and never more than the bound")
 {
-    auto const bomb = compressed(std::string(CompressedText::largest_text, 'a'));
+    auto const bomb = compressed(std::string(CompressedText::max_text_size, 'a'));
     CHECK(bomb.bytes().size() < 100'000);
     CHECK(!received(bomb.bytes(), 1000));
-    CHECK(!received(bomb.bytes(), CompressedText::largest_text + 1));
-    CHECK(!received("abc", CompressedText::largest_text));
+    CHECK(!received(bomb.bytes(), CompressedText::max_text_size + 1));
+    CHECK(!received("abc", CompressedText::max_text_size));
     CHECK(!received("", 1));
     CHECK(!received("", 0));
     Core::LastReason reason;
-    CHECK(!CompressedText::of(std::string(CompressedText::largest_text + 1, 'a'), reason));
+    CHECK(!CompressedText::of(std::string(CompressedText::max_text_size + 1, 'a'), reason));
     CHECK(!reason.text.empty());
 }
 
--- a/Tests/LibMembership/TestControlSource.cpp
+++ b/Tests/LibMembership/TestControlSource.cpp
@@ -30,7 +30,7 @@
 ControlSource source_of(std::string const& name, std::vector<BoxRecord> boxes = six_boxes())
 {
     ControlSource source(name, "a", { bound, bound });
-    source.take_boxes(std::move(boxes), at(0));
+    source.update_boxes(std::move(boxes), at(0));
     return source;
 }
 
@@ -82,7 +82,7 @@
     CHECK(small.reads_store(at(0)));
     ControlSource alone("b1", "a", { bound, bound });
     CHECK(!alone.reads_store(at(0)));
-    alone.boxes_unknown();
+    alone.boxes_unavailable();
     CHECK(alone.reads_store(at(0)));
 }
 
@@ -141,7 +141,7 @@
 {
     auto source = source_of(order()[1]);
     source.relay_answered(order()[0], at(900), at(1000));
-    source.was_asked("a", at(1100));
+    source.request_received("a", at(1100));
     CHECK(source.reads_store(at(1100)));
     CHECK(!source.relay(at(1100)));
     CHECK(source.relay(at(3200)));
@@ -150,16 +150,16 @@
 TEST_CASE("a box that no other one asks or answers hears nobody, unless its failure domain is too small to tell")
 {
     auto source = source_of("b1");
-    CHECK_FALSE(source.hears_others(at(0)));
+    CHECK_FALSE(source.has_recent_contact(at(0)));
     source.relay_answered("b2", at(1000), at(1000));
-    CHECK(source.hears_others(at(3000)));
-    CHECK_FALSE(source.hears_others(at(3001)));
+    CHECK(source.has_recent_contact(at(3000)));
+    CHECK_FALSE(source.has_recent_contact(at(3001)));
     // An answer that is too old to be used comes from a box that lives all the same.
     source.relay_answered("b2", at(1000), at(9000));
-    CHECK(source.hears_others(at(9500)));
-    source.was_asked("a", at(20'000));
-    CHECK(source.hears_others(at(21'000)));
-    CHECK(source_of("b1", { box("b1"), box("b2") }).hears_others(at(0)));
+    CHECK(source.has_recent_contact(at(9500)));
+    source.request_received("a", at(20'000));
+    CHECK(source.has_recent_contact(at(21'000)));
+    CHECK(source_of("b1", { box("b1"), box("b2") }).has_recent_contact(at(0)));
 }
 
 TEST_CASE("the record of a box that never answers is taken to be left over after minutes")
@@ -167,38 +167,38 @@
     auto source = source_of(order().back());
     auto const relay = order().front();
     source.relay_failed(relay, at(0));
-    CHECK(source.long_gone(at(60'000)).empty());
+    CHECK(source.unresponsive_boxes(at(60'000)).empty());
     source.relay_failed(relay, at(200'000));
-    CHECK(source.long_gone(at(301'000)) == std::vector { relay });
+    CHECK(source.unresponsive_boxes(at(301'000)) == std::vector { relay });
     source.relay_answered(relay, at(301'000), at(301'000));
-    CHECK(source.long_gone(at(301'000)).empty());
+    CHECK(source.unresponsive_boxes(at(301'000)).empty());
 }
 
 TEST_CASE("a box that reads the store itself looks soon for other boxes, one that has a relay seldom")
 {
     auto const reader = source_of(order().front());
-    CHECK(reader.list_pause(0, at(0)) == std::chrono::seconds(2));
-    CHECK(reader.list_pause(1, at(0)) == std::chrono::seconds(4));
-    CHECK(reader.list_pause(100, at(0)) == std::chrono::seconds(60));
+    CHECK(reader.list_interval(0, at(0)) == std::chrono::seconds(2));
+    CHECK(reader.list_interval(1, at(0)) == std::chrono::seconds(4));
+    CHECK(reader.list_interval(100, at(0)) == std::chrono::seconds(60));
     auto const asker = source_of(order().back());
-    CHECK(asker.list_pause(0, at(0)) == std::chrono::seconds(60));
+    CHECK(asker.list_interval(0, at(0)) == std::chrono::seconds(60));
     std::vector<BoxRecord> many;
     many.reserve(300);
     for (int number = 0; number < 300; ++number)
         many.push_back(box("c" + std::to_string(1000 + number)));
     ControlSource one_of_many("c1000", "a", { bound, bound });
-    one_of_many.take_boxes(many, at(0));
+    one_of_many.update_boxes(many, at(0));
     REQUIRE(one_of_many.relay(at(0)));
-    CHECK(one_of_many.list_pause(0, at(0)) == std::chrono::seconds(600));
+    CHECK(one_of_many.list_interval(0, at(0)) == std::chrono::seconds(600));
 }
 
 TEST_CASE("whatever happens, a box either reads the store or holds what a relay vouched for lately")
 {
     pcg32 random(20261202);
     auto source = source_of(order().back());
-    std::optional<Instant> vouched;
+    std::optional<Instant> confirmed_at;
     Instant now = at(0);
-    int relayed = 0;
+    int steps_with_relay = 0;
     for (int step = 0; step < 20'000; ++step) {
         now += std::chrono::milliseconds(random(300));
         auto const relay = source.relay(now);
@@ -206,20 +206,20 @@
             auto const moment = now - std::chrono::milliseconds(random(1500));
             source.relay_answered(relay->name, moment, now);
             if (source.is_recent(moment, now))
-                vouched = std::max(vouched.value_or(moment), moment);
+                confirmed_at = std::max(confirmed_at.value_or(moment), moment);
         } else if (relay && random(3) == 0) {
             source.relay_failed(relay->name, now);
         } else if (random(200) == 0) {
-            source.was_asked("a", now);
+            source.request_received("a", now);
         }
-        bool const waits_for_first_answer = now < at(0) + source.patience();
+        bool const waits_for_first_answer = now < at(0) + source.relay_timeout();
         if (source.reads_store(now) || waits_for_first_answer)
             continue;
-        ++relayed;
-        REQUIRE(vouched);
-        REQUIRE(now - *vouched <= bound * 0.55);
+        ++steps_with_relay;
+        REQUIRE(confirmed_at);
+        REQUIRE(now - *confirmed_at <= bound * 0.55);
     }
-    CHECK(relayed > 1000);
+    CHECK(steps_with_relay > 1000);
 }
 
 TEST_CASE("boxes that wake together ask their relay first, and the store if it doesn't answer in time")
@@ -229,15 +229,15 @@
     source.relay_answered(relay, at(0), at(0));
     auto const woke_at = at(60'000);
     CHECK(source.reads_store(woke_at));
-    source.woke(woke_at);
+    source.after_suspension(woke_at);
     CHECK_FALSE(source.reads_store(woke_at));
     REQUIRE(source.relay(woke_at));
     CHECK(source.relay(woke_at)->name == relay);
-    CHECK(source.reads_store(woke_at + source.patience()));
+    CHECK(source.reads_store(woke_at + source.relay_timeout()));
     SUBCASE("an answer spares the store")
     {
         source.relay_answered(relay, woke_at, woke_at);
-        CHECK_FALSE(source.reads_store(woke_at + source.patience()));
+        CHECK_FALSE(source.reads_store(woke_at + source.relay_timeout()));
     }
     SUBCASE("a relay that fails does not")
     {
@@ -247,7 +247,7 @@
     SUBCASE("the first box of the domain reads at once")
     {
         auto first = source_of(relay);
-        first.woke(woke_at);
+        first.after_suspension(woke_at);
         CHECK(first.reads_store(woke_at));
     }
 }
--- a/Tests/LibMembership/TestCrashMessages.cpp
+++ b/Tests/LibMembership/TestCrashMessages.cpp
@@ -30,7 +30,7 @@
 TEST_CASE("a message of sixteen crashes fits into a packet")
 {
     CrashMessage message;
-    for (std::size_t count = 0; count < most_news_in_message; ++count)
+    for (std::size_t count = 0; count < max_crash_entries_per_message; ++count)
         message.crashes.push_back({ { request, { "i-0123456789", 1'790'000'000'000 }, 3 }, seconds(600) });
     constexpr std::size_t packet = 1400;
     CHECK(encode(message).size() < packet);
@@ -67,15 +67,15 @@
     }
     SUBCASE("too many")
     {
-        message.cleared.resize(most_news_in_message + 1);
+        message.cleared.resize(max_crash_entries_per_message + 1);
     }
     SUBCASE("too many probes")
     {
-        message.probed.resize(most_news_in_message + 1);
+        message.probed.resize(max_crash_entries_per_message + 1);
     }
     SUBCASE("too many probes that are over")
     {
-        message.probes_ended.resize(most_news_in_message + 1);
+        message.probes_ended.resize(max_crash_entries_per_message + 1);
     }
     CHECK_FALSE(decode_crashes(encode(message)));
 }
@@ -90,12 +90,12 @@
 TEST_CASE("a refused request's record tells its age by the wall clock, and is taken for no box")
 {
     TimedCrash const crash { { request, endpoint, 3 }, seconds(5) };
-    auto const record = encode_record(crash, wall_now);
+    auto const record = encode_crash_record(crash, wall_now);
     constexpr std::int64_t seconds_later = 7000;
-    CHECK(decode_record(record, wall_now + seconds_later) == TimedCrash { crash.report, seconds(12) });
-    CHECK(decode_record(record, wall_now - 60'000)->age == seconds(0));
-    CHECK(decode_record(record, -1)->age == seconds(0));
-    CHECK_FALSE(decode_record("", wall_now));
+    CHECK(decode_crash_record(record, wall_now + seconds_later) == TimedCrash { crash.report, seconds(12) });
+    CHECK(decode_crash_record(record, wall_now - 60'000)->age == seconds(0));
+    CHECK(decode_crash_record(record, -1)->age == seconds(0));
+    CHECK_FALSE(decode_crash_record("", wall_now));
     CHECK_FALSE(decode_box(crash_key(request), record));
     CHECK(is_crash_key(crash_key(request)));
     CHECK_FALSE(is_crash_key("front-1"));
--- a/Tests/LibMembership/TestEndpointJournal.cpp
+++ b/Tests/LibMembership/TestEndpointJournal.cpp
@@ -26,7 +26,7 @@
 
 /// A box that keeps its list by asking a journal.
 struct Follower {
-    void ask(EndpointJournal const& journal)
+    void poll(EndpointJournal const& journal)
     {
         auto const answer = journal.changes_since(this->revision);
         if (answer.is_whole)
@@ -87,14 +87,14 @@
         }
         // NOTE: The last follower asks so seldom that the journal has forgotten removals by then.
         if (random(3) == 0)
-            followers[0].ask(journal);
+            followers[0].poll(journal);
         if (random(40) == 0)
-            followers[1].ask(journal);
+            followers[1].poll(journal);
         if (random(1500) == 0)
-            followers[2].ask(journal);
+            followers[2].poll(journal);
     }
     for (auto& follower : followers) {
-        follower.ask(journal);
+        follower.poll(journal);
         CHECK(follower.known == truth);
     }
 }
@@ -110,8 +110,8 @@
 
 TEST_CASE("what boxes say to each other comes back as it was")
 {
-    ControlQuestion const question { 77, 5, 9, "b1", { { "pool", { 12.5, 3 } } }, "a" };
-    CHECK(decode_question(encode(question)) == question);
+    ControlRequest const request { 77, 5, 9, "b1", { { "pool", { 12.5, 3 } } }, "a" };
+    CHECK(decode_request(encode(request)) == request);
     ControlAnswer answer;
     answer.source = 1;
     answer.endpoints = { 12, false, { { "a", endpoint("a", true) }, { "b", std::nullopt } } };
@@ -175,7 +175,7 @@
     message.set_source(1);
     message.set_configuration_version(31);
     message.set_compressed_configuration("abc");
-    message.set_configuration_bytes(CompressedText::largest_text);
+    message.set_configuration_bytes(CompressedText::max_text_size);
     CHECK(!decode_answer(message.SerializeAsString()));
     auto const whole = encode(*decode_answer([] {
         cleatbeam::membership::ControlAnswer good;
@@ -192,7 +192,7 @@
 {
     CHECK(!decode_answer("no message"));
     CHECK(!decode_answer(encode(ControlAnswer {}).whole()));
-    CHECK(!decode_question("\xff\xff\xff"));
+    CHECK(!decode_request("\xff\xff\xff"));
     CHECK(!decode_box("b1", ""));
     ControlAnswer broken;
     broken.source = 1;
@@ -202,8 +202,8 @@
 
 TEST_CASE("numbers that can't be are not taken for work or shares")
 {
-    ControlQuestion question { 1, 1, 1, "b1", { { "pool", { -5, std::numeric_limits<double>::infinity() } } }, "a" };
-    auto const decoded = decode_question(encode(question));
+    ControlRequest request { 1, 1, 1, "b1", { { "pool", { -5, std::numeric_limits<double>::infinity() } } }, "a" };
+    auto const decoded = decode_request(encode(request));
     REQUIRE(decoded);
     CHECK(decoded->work.at("pool") == Routing::WorkTotals { 0, 0 });
     ControlAnswer answer;
@@ -216,9 +216,9 @@
 {
     DemandPool pool;
     auto const moment = [](int milliseconds) { return Instant { std::chrono::milliseconds(milliseconds) }; };
-    pool.take("b1", { { "pool", { 100, 50 } } }, moment(0));
-    pool.take("b2", { { "pool", { 10, 5 } }, { "other", { 1, 1 } } }, moment(1000));
-    pool.take("b1", { { "pool", { 20, 30 } } }, moment(1500));
+    pool.update("b1", { { "pool", { 100, 50 } } }, moment(0));
+    pool.update("b2", { { "pool", { 10, 5 } }, { "other", { 1, 1 } } }, moment(1000));
+    pool.update("b1", { { "pool", { 20, 30 } } }, moment(1500));
     CHECK(pool.totals(moment(1600)).at("pool") == Routing::WorkTotals { 30, 35 });
     auto const later = pool.totals(moment(4100));
     CHECK(later.at("pool") == Routing::WorkTotals { 20, 30 });
@@ -237,12 +237,12 @@
 
 TEST_CASE("a question with endless names or services is not taken")
 {
-    ControlQuestion const usual { 1, 1, 1, std::string(256, 'b'), {}, "a" };
-    CHECK(decode_question(encode(usual)) == usual);
-    CHECK_FALSE(decode_question(encode(ControlQuestion { 1, 1, 1, std::string(257, 'b'), {}, "a" })));
-    CHECK_FALSE(decode_question(encode(ControlQuestion { 1, 1, 1, "b", {}, std::string(10'000, 'a') })));
-    ControlQuestion many { 1, 1, 1, "b", {}, "a" };
+    ControlRequest const usual { 1, 1, 1, std::string(256, 'b'), {}, "a" };
+    CHECK(decode_request(encode(usual)) == usual);
+    CHECK_FALSE(decode_request(encode(ControlRequest { 1, 1, 1, std::string(257, 'b'), {}, "a" })));
+    CHECK_FALSE(decode_request(encode(ControlRequest { 1, 1, 1, "b", {}, std::string(10'000, 'a') })));
+    ControlRequest many { 1, 1, 1, "b", {}, "a" };
     for (int service = 0; service <= 64; ++service)
         many.work["s" + std::to_string(service)] = { 1, 1 };
-    CHECK_FALSE(decode_question(encode(many)));
+    CHECK_FALSE(decode_request(encode(many)));
 }
--- a/Tests/LibMembership/TestLoadMessages.cpp
+++ b/Tests/LibMembership/TestLoadMessages.cpp
@@ -68,7 +68,7 @@
 
 TEST_CASE("a report that a newer one overtook, or that comes twice, is not taken")
 {
-    MessageAges ages;
+    MessageAgeTracker ages;
     CHECK(ages.age(message_at(start + milliseconds(100)), start + milliseconds(102)));
     CHECK_FALSE(ages.age(message_at(start + milliseconds(100)), start + milliseconds(103)));
     CHECK_FALSE(ages.age(message_at(start), start + milliseconds(104)));
@@ -84,7 +84,7 @@
         std::uniform_int_distribution<int> drawn(0, 1000);
         // The clocks of two boxes have nothing to do with each other.
         auto const offset = seconds(drawn(random));
-        MessageAges ages;
+        MessageAgeTracker ages;
         auto sent_at = start;
         auto read_at = start;
         Duration shortest_so_far = Duration::max();
@@ -126,7 +126,7 @@
     LoadMessage message { 17, Instant { seconds(1) }, {}, { 5, 2, seconds(3), std::chrono::milliseconds(4500) } };
     auto const heard = decode_load(encode(message));
     REQUIRE(heard);
-    CHECK(heard->knowledge == message.knowledge);
-    message.knowledge = { 5, 2, {}, {} };
-    CHECK(decode_load(encode(message))->knowledge == message.knowledge);
+    CHECK(heard->store_versions == message.store_versions);
+    message.store_versions = { 5, 2, {}, {} };
+    CHECK(decode_load(encode(message))->store_versions == message.store_versions);
 }
--- a/Tests/LibMembership/TestStoreCalls.cpp
+++ b/Tests/LibMembership/TestStoreCalls.cpp
@@ -14,14 +14,14 @@
 constexpr std::size_t boxes_each = 59;
 
 /// The oldest knowledge of any box at any time while the world plays on.
-Membership::Duration oldest_while(ControlWorld& world, Membership::Duration duration)
+Membership::Duration oldest_age_during(ControlWorld& world, Membership::Duration duration)
 {
-    Membership::Duration oldest { 0 };
+    Membership::Duration oldest_age { 0 };
     for (auto const end = world.now + duration; world.now < end;) {
-        world.play(milliseconds(50));
-        oldest = std::max(oldest, world.oldest());
+        world.run(milliseconds(50));
+        oldest_age = std::max(oldest_age, world.oldest_age());
     }
-    return oldest;
+    return oldest_age;
 }
 
 }
@@ -31,11 +31,11 @@
 TEST_CASE("one box reads the store for hundreds, and what each knows stays well inside the bound")
 {
     ControlWorld world(domains, boxes_each);
-    world.play(seconds(5));
+    world.run(seconds(5));
     CHECK(world.readers() == 1);
     world.calls = 0;
-    auto const oldest = oldest_while(world, seconds(20));
-    CHECK(oldest < ControlWorld::bound * 0.55);
+    auto const oldest_age = oldest_age_during(world, seconds(20));
+    CHECK(oldest_age < ControlWorld::bound * 0.55);
     // Two topics, each 0.8 s.
     CHECK(world.calls <= 52);
 }
@@ -45,9 +45,9 @@
     std::vector<std::size_t> calls;
     for (std::size_t const each : { 6UL, 20UL, 60UL }) {
         ControlWorld world(domains, each);
-        world.play(seconds(5));
+        world.run(seconds(5));
         world.calls = 0;
-        world.play(seconds(10));
+        world.run(seconds(10));
         calls.push_back(world.calls);
     }
     // A read more or less, by when the first one fell.
@@ -60,15 +60,15 @@
 TEST_CASE("the loss of the reader, and of the next one, costs few calls and nobody's knowledge")
 {
     ControlWorld world(domains, boxes_each);
-    world.play(seconds(2));
-    std::vector<std::string> dead;
-    world.is_dead = [&](std::string const& name) { return std::ranges::find(dead, name) != dead.end(); };
+    world.run(seconds(2));
+    std::vector<std::string> down;
+    world.is_down = [&](std::string const& name) { return std::ranges::find(down, name) != down.end(); };
     world.calls = 0;
     for (int loss = 0; loss < 2; ++loss) {
         auto const lost = world.reader();
         REQUIRE(!lost.empty());
-        dead.push_back(lost);
-        CHECK(oldest_while(world, seconds(5)) < ControlWorld::bound * 0.6);
+        down.push_back(lost);
+        CHECK(oldest_age_during(world, seconds(5)) < ControlWorld::bound * 0.6);
     }
     CHECK(world.calls < 150);
 }
@@ -79,15 +79,15 @@
 TEST_CASE("a store that is away is not called by all boxes again and again, and its return is soon known everywhere")
 {
     ControlWorld world(domains, boxes_each);
-    world.play(seconds(2));
+    world.run(seconds(2));
     world.store_answers = [](std::string const&) { return false; };
     world.calls = 0;
-    world.play(seconds(8));
+    world.run(seconds(8));
     MESSAGE("calls in 8 s: ", world.calls);
     CHECK(world.calls < 1100);
     world.store_answers = [](std::string const&) { return true; };
-    world.play(milliseconds(2500));
-    CHECK(world.old_boxes(milliseconds(ControlWorld::bound) * 11 / 20) == 0);
+    world.run(milliseconds(2500));
+    CHECK(world.stale_boxes(milliseconds(ControlWorld::bound) * 11 / 20) == 0);
 }
 
 // What operators saw: the store turned some boxes away, the readers among them. A box that the store serves is found by
@@ -95,7 +95,7 @@
 TEST_CASE("boxes that the store turns away learn from boxes that it serves")
 {
     ControlWorld world(domains, boxes_each);
-    world.play(seconds(2));
+    world.run(seconds(2));
     auto const reader = world.reader();
     SUBCASE("the reader alone is turned away")
     {
@@ -111,9 +111,9 @@
         world.store_answers = [](std::string const& name) { return (name.back() - '0') % 2 == 0; };
     }
     world.calls = 0;
-    auto const oldest = oldest_while(world, seconds(10));
-    MESSAGE("oldest in ms: ", Core::to_milliseconds(oldest), ", calls: ", world.calls);
-    CHECK(oldest < ControlWorld::bound * 0.75);
+    auto const oldest_age = oldest_age_during(world, seconds(10));
+    MESSAGE("oldest in ms: ", Core::to_milliseconds(oldest_age), ", calls: ", world.calls);
+    CHECK(oldest_age < ControlWorld::bound * 0.75);
     CHECK(world.calls < 1600);
 }
 
@@ -122,10 +122,10 @@
 TEST_CASE("when all boxes start together each knows what the store says within half a second, at one call for many")
 {
     ControlWorld world(domains, boxes_each);
-    world.play(seconds(3));
+    world.run(seconds(3));
     world.restart_all();
     world.calls = 0;
-    CHECK(oldest_while(world, seconds(3)) < ControlWorld::bound * 0.55);
+    CHECK(oldest_age_during(world, seconds(3)) < ControlWorld::bound * 0.55);
     MESSAGE("calls: ", world.calls);
     CHECK(world.calls < 300);
 }
@@ -138,35 +138,35 @@
     explicit FaultyWorld(std::uint64_t seed)
         : random(seed)
     {
-        this->world.play(seconds(2));
-        this->world.is_dead = [this](std::string const& name) { return this->dead.contains(name); };
-        this->world.store_answers = [this](std::string const& name) { return !this->turned_away.contains(name); };
+        this->world.run(seconds(2));
+        this->world.is_down = [this](std::string const& name) { return this->down.contains(name); };
+        this->world.store_answers = [this](std::string const& name) { return !this->rejected.contains(name); };
     }
 
     void draw_faults()
     {
         for (auto const& name : this->world.names()) {
-            this->draw_fault(this->random(2) == 0 ? this->dead : this->turned_away, name);
-            if (this->dead.contains(name) || this->turned_away.contains(name))
-                this->sound_since.erase(name);
+            this->draw_fault(this->random(2) == 0 ? this->down : this->rejected, name);
+            if (this->down.contains(name) || this->rejected.contains(name))
+                this->healthy_since.erase(name);
             else
-                this->sound_since.try_emplace(name, this->world.now);
+                this->healthy_since.try_emplace(name, this->world.now);
         }
         if (this->random(10) == 0)
             this->world.restart_all();
     }
 
     /// The oldest knowledge of any box that has been up and served by the store for a while, in the next 50 ms.
-    [[nodiscard]] Membership::Duration oldest_of_sound_boxes()
+    [[nodiscard]] Membership::Duration oldest_age_of_healthy_boxes()
     {
-        this->world.play(milliseconds(50));
-        Membership::Duration oldest { 0 };
+        this->world.run(milliseconds(50));
+        Membership::Duration oldest_age { 0 };
         for (auto const& [name, age] : this->world.ages()) {
-            auto const since = this->sound_since.find(name);
-            if (since != this->sound_since.end() && this->world.now - since->second > ControlWorld::bound)
-                oldest = std::max(oldest, age);
+            auto const since = this->healthy_since.find(name);
+            if (since != this->healthy_since.end() && this->world.now - since->second > ControlWorld::bound)
+                oldest_age = std::max(oldest_age, age);
         }
-        return oldest;
+        return oldest_age;
     }
 
 private:
@@ -182,9 +182,9 @@
 
     ControlWorld world { 3, 8 };
     pcg32 random;
-    std::set<std::string> dead;
-    std::set<std::string> turned_away;
-    std::map<std::string, Membership::Instant> sound_since;
+    std::set<std::string> down;
+    std::set<std::string> rejected;
+    std::map<std::string, Membership::Instant> healthy_since;
 };
 
 }
@@ -198,7 +198,7 @@
         for (int fault = 0; fault < 20; ++fault) {
             world.draw_faults();
             for (int step = 0; step < 40; ++step)
-                REQUIRE(world.oldest_of_sound_boxes() < ControlWorld::bound * 0.7);
+                REQUIRE(world.oldest_age_of_healthy_boxes() < ControlWorld::bound * 0.7);
         }
     }
 }
