--- a/Libraries/LibLeader/FencingToken.h
+++ b/Libraries/LibLeader/FencingToken.h
@@ -3,12 +3,11 @@
 #include <compare>
 #include <cstdint>
 
-/// What one box does for all of them: which box that is, the usage that it reports, and the servers that it orders
-/// (pure).
+/// Leader election among boxes, and the leader's duties: usage reports and orders of servers (pure).
 namespace Leader {
 
-/// Says which of two leaders is the later one: the place of its claim in the store's log, behind the history of the
-/// store that the log is of. So it rises although offsets are given out again after a return from a copy.
+/// Orders leaders in time: the era of the store's history, then the offset of the leader's claim in the store's log.
+/// The era comes first because offsets are assigned again after the store was restored from a copy.
 struct FencingToken {
     std::uint64_t era { 0 };
     std::uint64_t offset { 0 };
--- a/Libraries/LibLeader/FleetPlan.h
+++ b/Libraries/LibLeader/FleetPlan.h
@@ -14,10 +14,10 @@
 using Core::Duration;
 using Core::Instant;
 
-/// Whether the platform may take a server away again.
+/// Whether the platform may revoke a server.
 enum class ServerKind {
     Permanent,
-    /// Cheap; the platform may take all of a failure domain away at short notice.
+    /// Cheaper; the platform may revoke all servers of a failure domain at short notice.
     Revocable,
 };
 
@@ -37,7 +37,7 @@
 /// Servers of a service by failure domain.
 using Fleet = std::map<std::string, ServerCounts>;
 
-/// One order: so many servers of a kind in a failure domain.
+/// An order to the platform: how many servers of a kind a failure domain should have.
 struct ServerOrder {
     std::string domain;
     ServerKind kind { ServerKind::Permanent };
@@ -46,18 +46,18 @@
     bool operator==(ServerOrder const&) const = default;
 };
 
-/// As many servers as may be ordered, cheap ones first, at all times. For a service whose bursts are over before a
-/// server has started.
+/// Always orders as many servers as allowed, revocable ones first. For a service whose bursts end before a new server
+/// has started.
 struct MaximumFleet {
     bool operator==(MaximumFleet const&) const = default;
 };
 
-/// As many servers as the largest demand of the last while needs, and some more. All that may be ordered until demand
-/// has been seen for that long: what is known of it before says nothing of the bursts to come.
+/// Orders servers for the largest demand of a recent time window, with headroom. Until demand has been observed for
+/// that long, it orders as many servers as allowed: a shorter history does not predict the next bursts.
 struct FollowDemand {
-    /// Servers for each that the demand is worked out to need: bursts come before servers that answer them.
+    /// Servers per server that the demand needs: a burst arrives before servers that were ordered for it have started.
     double headroom { 3 };
-    /// For so long the largest demand counts.
+    /// Length of the window whose largest demand counts.
     Duration demand_window { std::chrono::seconds(60) };
 
     bool operator==(FollowDemand const&) const = default;
@@ -67,10 +67,10 @@
 
 /// Decides how many servers of a service are ordered, of which kind and in which failure domain.
 ///
-/// It answers demand that comes in bursts shorter than a server's start, where some servers cost a part of the others
-/// but may all be taken away in one failure domain at a time. Cheap ones carry the load, spread over all domains, so
-/// that the others carry it when one domain loses all of its own; permanent ones make up what that would lack. Servers
-/// that run are given back only when those that replace them take requests.
+/// For demand in bursts shorter than a server's start-up, where revocable servers cost a fraction of permanent ones but
+/// may all be revoked in one failure domain at a time. Revocable servers carry the load, spread over all domains, so
+/// that the other domains can serve it when one loses all of its revocable servers; permanent servers cover what is
+/// missing then. Running servers are released only once their replacements accept requests.
 class FleetPlan {
 public:
     explicit FleetPlan(FleetPolicy policy)
@@ -78,19 +78,20 @@
     {
     }
 
-    /// The demand, as servers that it needs; nothing where it is not known yet.
+    /// The demand, in servers that it needs; empty while the demand is unknown.
     void observe_demand(std::optional<double> servers, Instant now);
-    /// What should be there, given the servers that take requests now.
+    /// The fleet to aim for, given the servers that accept requests now.
     [[nodiscard]] Fleet target_fleet(Routing::ServerScaling const& scaling, Fleet const& running, Instant now) const;
-    /// The orders to give now: where what is wanted was not ordered, or was and is not there after its time.
+    /// The orders to send now: those whose count differs from the last order, and those whose servers did not start in
+    /// time.
     [[nodiscard]] std::vector<ServerOrder> due_orders(
         Routing::ServerScaling const& scaling, Fleet const& running, Instant now) const;
-    /// The platform took the order, or has none to give in that domain, or gave no answer.
+    /// The platform accepted the order, or refused it: no such server is available in the domain, or the call failed.
     void accepted(ServerOrder const& order, Instant now);
     void refused(ServerOrder const& order, Instant now);
-    /// Forgets what was ordered, so that all is ordered anew: another box may have ordered meanwhile.
+    /// Forgets all orders, so that each is sent again: another box may have sent orders meanwhile.
     void clear_orders() { this->orders.clear(); }
-    /// The demand that is reckoned with; nothing before any was seen.
+    /// The demand that the plan uses; empty before any was observed.
     [[nodiscard]] std::optional<double> demand() const;
 
 private:
@@ -105,27 +106,28 @@
 
     struct Plan {
         Fleet fleet;
-        /// Whether servers that run may be given back: those that replace them take requests.
+        /// Whether running servers may be released because their replacements accept requests.
         bool may_release { false };
     };
 
     [[nodiscard]] Plan plan(Routing::ServerScaling const& scaling, Fleet const& running, Instant now) const;
-    /// Servers in all that the demand asks for.
+    /// Number of servers that the demand calls for in all domains.
     [[nodiscard]] unsigned target_count(Routing::ServerScaling const& scaling, Instant now) const;
     [[nodiscard]] bool is_refused(std::string const& domain, ServerKind kind) const;
 
-    /// Cheap servers are preferred up to this part of the price of others: half of them may go at once.
+    /// Highest ratio of the revocable to the permanent price at which revocable servers are preferred: half of them may
+    /// be revoked at once.
     static constexpr double max_revocable_price_ratio = 0.5;
-    /// Servers that replace others must be there up to this part before those are given back.
+    /// Share of the target that must accept requests before the replaced servers are released.
     static constexpr double min_replacement_share = 0.9;
-    /// Added to the start-up time before a server that is missing is ordered again.
+    /// Added to the start-up time before a missing server is ordered again.
     static constexpr Duration start_margin { std::chrono::seconds(3) };
     static constexpr Duration first_retry_pause { std::chrono::seconds(1) };
     static constexpr Duration max_retry_pause { std::chrono::seconds(8) };
 
     FleetPolicy policy;
     std::map<OrderKey, OrderState> orders;
-    /// The largest demand of each second of the last while.
+    /// The largest demand of each second of the demand window.
     std::map<std::int64_t, double> demand_by_second;
     std::optional<Instant> demand_observed_since;
 };
--- a/Libraries/LibLeader/LeaderElection.h
+++ b/Libraries/LibLeader/LeaderElection.h
@@ -12,28 +12,28 @@
 using Core::Duration;
 using Core::Instant;
 
-/// What a leader tells the other boxes.
+/// The state that the leader sends to the other boxes.
 struct Announcement {
-    /// Its fencing token, as a number.
+    /// The leader's fencing token, as a number.
     std::uint64_t token { 0 };
     std::string box;
-    /// The first usage window that is not written down yet.
+    /// The first usage window without a stored report.
     std::uint64_t next_window { 0 };
-    /// Unix microseconds that all boxes go by, and of how many boxes' clocks this is the median.
+    /// Shared time in Unix microseconds, and the number of boxes' clocks of which it is the median.
     std::uint64_t unix_microseconds { 0 };
     unsigned clocks { 0 };
     bool has_resigned { false };
-    /// Where the leader takes datagrams: one that has just come is in nobody's list of boxes yet.
+    /// Where the leader receives datagrams: a box that has just started is in no other box's list yet.
     Routing::SocketAddress address {};
 
     bool operator==(Announcement const&) const = default;
 };
 
-/// Decides when a box may claim the lead.
+/// Decides when a box may claim leadership.
 ///
-/// A leader tells the others that it leads. A box that hears of none for a whole lease may claim, the first box of the
-/// common order first and each later one a step after. The store's log decides between two that claim; this class only
-/// keeps claims rare, and the lead from going back and forth within a lease.
+/// The leader sends announcements. A box that receives none for a whole lease may claim leadership; the first box of
+/// the common order claims first and each later one after a further delay. The store's log decides between two claims;
+/// this class only keeps claims rare and prevents two leaders from alternating within a lease.
 class LeaderElection {
 public:
     explicit LeaderElection(Duration lease)
@@ -42,32 +42,32 @@
     }
 
     void set_lease(Duration new_lease) { this->lease = new_lease; }
-    /// Silence counts from here: a leader may be there that this box has not heard yet. Not where all boxes start for
-    /// the first time: there is none, and a claim waits only until the boxes know each other.
+    /// Starts the lease: a leader may exist whose announcement has not arrived yet. On the first start of all boxes
+    /// there is no leader, so a claim only waits until the boxes have discovered each other.
     void started(Instant now, bool is_first_start = false)
     {
         this->silent_since = is_first_start ? now + first_discovery_time - this->lease : now;
     }
-    /// The box was suspended: others may have taken the lead meanwhile.
+    /// This box was suspended: another one may have become leader meanwhile.
     void after_suspension(Instant now) { this->silent_since = now; }
-    /// False for word of an earlier leader than the one known.
+    /// Stores the announcement. False for one of an earlier leader than the last.
     bool receive(Announcement const& announcement, Instant now);
-    /// This box took the lead.
+    /// This box became the leader.
     void claim_succeeded(Announcement const& own, Instant now);
-    /// This box led and does no longer, of its own will or not.
+    /// This box stopped being the leader, by resigning or otherwise.
     void stepped_down(Instant now);
-    /// This box could not claim.
+    /// This box's claim was not stored.
     void claim_failed(Instant now);
 
-    /// Whether the box at this place of the common order may claim now.
+    /// Whether the box at this position of the common order may claim now.
     [[nodiscard]] bool may_claim(std::size_t rank, Instant now) const;
-    /// The last leader heard of.
+    /// The announcement of the latest known leader.
     [[nodiscard]] std::optional<Announcement> const& leader() const { return this->last_announcement; }
 
 private:
-    /// After all boxes started: within this time each has read the list of all.
+    /// Time after the first start of all boxes within which each has read the list of boxes.
     static constexpr Duration first_discovery_time { std::chrono::milliseconds(1300) };
-    /// From one box of the order to the next: a claim takes two calls of the store.
+    /// Delay from one box of the order to the next: a claim takes two calls to the store.
     static constexpr Duration rank_delay { std::chrono::milliseconds(300) };
     static constexpr Duration first_claim_pause { std::chrono::seconds(1) };
     static constexpr Duration max_claim_pause { std::chrono::seconds(8) };
@@ -75,7 +75,7 @@
     Duration lease;
     std::optional<Announcement> last_announcement;
     Instant silent_since;
-    /// Not before this moment: after a failed claim, or after this box led.
+    /// Claims are not allowed before this moment: set after a failed claim and when leadership ends.
     Instant claims_blocked_until;
     Duration claim_pause { first_claim_pause };
 };
--- a/Libraries/LibLeader/LeaderMessages.h
+++ b/Libraries/LibLeader/LeaderMessages.h
@@ -11,7 +11,7 @@
 
 namespace Leader {
 
-/// What a box has counted, to the leader.
+/// Usage counts that a box sends to the leader.
 struct UsageMessage {
     /// The process that counted, drawn at random when it started; never 0.
     std::uint64_t process { 0 };
@@ -24,11 +24,11 @@
 
 using LeaderMessage = std::variant<Announcement, UsageMessage>;
 
-// Datagrams between boxes. The decoder gives nothing for other bytes.
+// Datagrams between boxes. The decoder returns nothing for bytes that are no such message.
 [[nodiscard]] std::string encode(LeaderMessage const& message);
 [[nodiscard]] std::optional<LeaderMessage> decode_leader_message(std::string_view bytes);
 
-/// A usage report as the store keeps it.
+/// The stored form of a usage report.
 [[nodiscard]] std::string encode_report(std::uint64_t window, AccountCounts const& counts);
 [[nodiscard]] std::optional<std::pair<std::uint64_t, AccountCounts>> decode_report(std::string const& bytes);
 
--- a/Libraries/LibLeader/SharedClock.h
+++ b/Libraries/LibLeader/SharedClock.h
@@ -10,25 +10,25 @@
 using Core::Duration;
 using Core::Instant;
 
-/// The time of day that all boxes go by, although wall clocks of single boxes may step by seconds.
+/// The time of day that all boxes share, although the wall clock of a single box may step by seconds.
 ///
-/// It runs on the clock since the box booted, from an offset: at first that of the own wall clock. The leader takes the
-/// median of the offsets that boxes tell, and tells the time that follows to all.
+/// The shared time is the clock since the box booted plus an offset, which starts as that of the box's own wall clock.
+/// The leader computes the median of all boxes' offsets and sends the resulting time to all boxes.
 class SharedClock {
 public:
-    /// This box's own wall clock at a moment.
+    /// Starts with this box's own wall clock at this moment.
     void start(std::uint64_t wall_unix_microseconds, Instant now);
-    /// What another process's wall clock showed when it told so, a moment ago.
+    /// Adds the wall clock time that another process has just sent.
     void add_sample(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now);
-    /// The leader sets its time anew from its own wall clock and those that it heard of.
+    /// On the leader: sets the time to the median of its own wall clock and the recent samples.
     void update_from_samples(std::uint64_t own_wall_unix_microseconds, Instant now);
-    /// The leader told the time, the median of so many clocks.
+    /// On the other boxes: sets the time to that of the leader, the median of this many clocks.
     void adopt(std::uint64_t unix_microseconds, unsigned clocks, Instant now);
 
     [[nodiscard]] std::uint64_t unix_microseconds(Instant now) const;
-    /// How far it is ahead of the clock since this box booted.
+    /// Offset to add to the clock since this box booted.
     [[nodiscard]] Duration offset_from_steady_clock() const { return Duration { this->offset }; }
-    /// Clocks that the time is the median of.
+    /// Number of clocks of which the time is the median.
     [[nodiscard]] unsigned clocks() const { return this->clock_count; }
 
 private:
@@ -42,9 +42,9 @@
         return static_cast<std::int64_t>(unix_microseconds) - now.time_since_epoch().count();
     }
 
-    /// Fewer clocks have no median worth following: two of three may step together.
+    /// The median of fewer clocks is not reliable: two of three may step together.
     static constexpr unsigned min_clocks = 4;
-    /// What was told longer ago is of a box that may be gone.
+    /// Older samples may be of a box that no longer runs.
     static constexpr Duration sample_retention { std::chrono::seconds(10) };
 
     std::int64_t offset { 0 };
--- a/Libraries/LibLeader/UsageCounts.h
+++ b/Libraries/LibLeader/UsageCounts.h
@@ -14,7 +14,7 @@
 /// Requests by client account.
 using AccountCounts = std::map<std::string, std::uint64_t>;
 
-/// The usage window that a moment lies in; windows follow one another since the start of 1970.
+/// The usage window that contains this moment; windows follow one another since the start of 1970.
 [[nodiscard]] constexpr std::uint64_t window_at(std::uint64_t unix_microseconds, Duration window_length)
 {
     return window_length > Duration { 0 } ? unix_microseconds / static_cast<std::uint64_t>(window_length.count()) : 0;
@@ -33,21 +33,22 @@
     [[nodiscard]] std::map<std::uint64_t, AccountCounts> const& windows() const { return this->counts; }
 
 private:
-    /// Longer than a report may be late, so that a new leader can be told all that is not reported yet.
+    /// Covers more than the time by which a report may be late, so that a new leader receives all counts without a
+    /// report.
     static constexpr std::size_t max_windows = 8;
 
     std::map<std::uint64_t, AccountCounts> counts;
 };
 
-/// What all boxes have counted, as they tell it: sums for each process and window. Telling twice counts once, and what
-/// comes late or out of order takes nothing back.
+/// Usage counts of all boxes, by window and process. Merging the same counts again changes nothing, and late or
+/// reordered messages never reduce a count.
 class UsageLedger {
 public:
     void merge(std::uint64_t process, std::map<std::uint64_t, AccountCounts> const& reported);
     [[nodiscard]] AccountCounts total(std::uint64_t window) const;
-    /// Forgets earlier windows.
+    /// Removes earlier windows.
     void forget_before(std::uint64_t window);
-    /// Processes that told of a window.
+    /// Number of processes that reported counts of a window.
     [[nodiscard]] std::size_t processes(std::uint64_t window) const;
 
 private:
--- a/Libraries/LibMembership/ControlSource.h
+++ b/Libraries/LibMembership/ControlSource.h
@@ -7,101 +7,103 @@
 
 namespace Membership {
 
-/// Times within which a box must act on what the platform's store says; the bounds of this class follow from them.
+/// Deadlines for a box to apply what the platform's store contains; the limits of ControlSource are derived from them.
 struct ControlBounds {
     /// A configuration must be in force this long after the store acknowledged it.
     Duration apply_within { std::chrono::seconds(2) };
-    /// An endpoint that leaves must be left alone this long after the store acknowledged that.
+    /// A draining endpoint must receive no new requests this long after the store acknowledged its draining.
     Duration drain_within { std::chrono::seconds(2) };
 
     bool operator==(ControlBounds const&) const = default;
 };
 
-/// Decides from where a box takes what the platform's store says: from the store, or from another box (a relay).
+/// Decides whether a box reads the platform's store itself or requests its contents from another box (a relay).
 ///
-/// A relay is only a saving and nobody appoints it. The boxes of a failure domain ask the first of a common order that
-/// answers, and the first boxes of the domains ask the first of these, which reads the store. So one box reads it for
-/// hundreds, and no answer passes more than two boxes. What a relay says carries the moment that it vouches for, and a
-/// box whose knowledge grows older than it may reads the store itself at once. A relay that dies, hangs, is cut off or
-/// is not the one that others ask costs calls to the store and nothing else.
+/// Relays only save calls to the store, and none is appointed. The boxes of a failure domain use the first box of a
+/// common order that responds, and these first boxes use the first one among themselves, which reads the store. So one
+/// box reads the store for hundreds, and data passes through at most two boxes. Each response of a relay carries the
+/// moment up to which its data is confirmed; a box whose data gets too old reads the store itself at once. A relay that
+/// crashes, hangs, is unreachable or is not the one that others use costs additional calls to the store and nothing
+/// else.
 ///
-/// While the store is out of reach the first boxes of the domains try it often and all others rarely, since whoever
-/// reaches it is found through relays: a box whose relays know nothing recent asks each of them in turn.
+/// While the store is unreachable, the first boxes of the domains retry it often and all others rarely: a box whose
+/// relays have no recent data requests it from each of them in turn, and so finds any box that reaches the store.
 class ControlSource {
 public:
     ControlSource(std::string box_name, std::string failure_domain, ControlBounds bounds);
 
     void set_bounds(ControlBounds new_bounds) { this->bounds = new_bounds; }
-    /// A box that has just started waits until then, at most, for the list of boxes before it reads the store.
+    /// After a start, waits at most until this moment for the list of boxes before it reads the store.
     void wait_for_boxes(Instant until) { this->waits_until = until; }
-    /// This box was suspended until now, and others may wake with it: as after a start, relays are asked first, so that
-    /// not all of them read the store at once.
+    /// This box was suspended until now, and others may resume at the same moment: as after a start, relays are used
+    /// first, so that not all boxes read the store at once.
     void after_suspension(Instant now);
-    /// The store told which boxes there are.
+    /// The list of boxes was read from the store.
     void update_boxes(std::vector<BoxRecord> records, Instant now);
-    /// The store could not be asked which boxes there are.
+    /// The list of boxes could not be read.
     void boxes_unavailable() { this->is_started = true; }
 
-    /// The relay to ask now; nothing for none.
+    /// The relay to use now; empty for none.
     [[nodiscard]] std::optional<BoxRecord> relay(Instant now) const;
-    /// The relay vouched for everything up to `vouched_at`.
+    /// The relay's response was confirmed up to `confirmed_at`.
     void relay_answered(std::string const& name, Instant confirmed_at, Instant now);
-    /// The relay gave no answer that can be used.
+    /// The relay sent no usable response.
     void relay_failed(std::string const& name, Instant now);
-    /// A box of this failure domain, or of another one, asked this one; an empty name stands for the own domain.
+    /// Another box requested data from this one; an empty failure domain stands for the box's own.
     void request_received(std::string const& requester_domain, Instant now);
-    /// This box's own reads of the store fail, or work again.
+    /// This box's own reads of the store fail, or succeed again.
     void store_failed(Instant now) { this->store_failed_at = now; }
     void store_answered() { this->store_failed_at.reset(); }
 
     /// Whether this box has to read the store itself.
     [[nodiscard]] bool reads_store(Instant now) const;
-    /// Whether a box that has just started and knows nothing yet leaves the store alone, since a relay will tell it.
+    /// Whether a box that has just started and has no data yet waits for a relay's response instead of reading the
+    /// store.
     [[nodiscard]] bool awaits_first_answer(Instant now) const;
-    /// Whether this box is the one that its failure domain asks, as far as it knows.
+    /// Whether this box is the relay that its failure domain should use, according to the list of boxes and recent
+    /// failures.
     [[nodiscard]] bool is_first_in_domain(Instant now) const;
-    /// Whether other boxes answered this one or asked it lately. Where failure domains are too small for relays nothing
-    /// is known of that, and it is taken to be so.
+    /// Whether other boxes recently sent this one a request or a response. Always true in failure domains that are too
+    /// small for relays, where boxes exchange no requests.
     [[nodiscard]] bool has_recent_contact(Instant now) const;
-    /// Whether other boxes take what the store says from this one.
+    /// Whether other boxes use this one as a relay.
     [[nodiscard]] bool is_relay(Instant now) const;
-    /// Whether what a relay vouches for up to this moment is recent enough.
+    /// Whether data confirmed up to this moment is recent enough.
     [[nodiscard]] bool is_recent(Instant confirmed_at, Instant now) const;
     [[nodiscard]] BoxDirectory const& boxes() const { return this->directory; }
-    /// Boxes that gave no answer for so long that their records are taken to be left over.
+    /// Boxes that have not responded for so long that their records are considered obsolete.
     [[nodiscard]] std::vector<std::string> unresponsive_boxes(Instant now) const;
 
-    /// How often a relay is asked.
+    /// Interval between requests to a relay.
     [[nodiscard]] Duration poll_interval() const { return this->tightest_bound() / 10; }
-    /// The same at this moment. The first box of a domain asks twice as often, so that its domain learns of the loss of
-    /// the reader before what it knows is too old: else each box of the domain would read the store. A box that knows
-    /// nothing yet asks eight times as often: it refuses its clients until then. One that can't reach the store asks
-    /// four times as often, some ten boxes in turn.
+    /// The interval at this moment. The first box of a domain polls twice as often, so that its domain learns of the
+    /// loss of the reader before its data is too old; otherwise each box of the domain would read the store. A box
+    /// without any data polls eight times as often, because it refuses its clients until then. A box that can't reach
+    /// the store polls four times as often, alternating between some ten boxes.
     [[nodiscard]] Duration poll_interval(Instant now) const;
-    /// Longest silence of a relay, before its answer and within it. One that hangs must leave time for a read of the
-    /// store.
+    /// Longest silence of a relay, before its response and within it. Leaves time to read the store when the relay
+    /// hangs.
     [[nodiscard]] Duration relay_timeout() const { return this->tightest_bound() * 3 / 20; }
-    /// The same with this relay. One of another domain stands before a whole domain, so it is left sooner. A box that
-    /// knows nothing yet leaves a relay sooner still: one that lives answers within some 10 ms, one that has no power
-    /// yet says nothing, and the box refuses its clients until it knows something.
+    /// Timeout for this relay. A relay of another domain serves a whole domain through this box, so its timeout is
+    /// shorter. It is shorter still while the box has no data: a running relay responds within some 10 ms, one without
+    /// power never does, and the box refuses its clients until it has data.
     [[nodiscard]] Duration relay_timeout_for(BoxRecord const& relay, Instant now) const;
-    /// Pause after so many readings of a list of boxes that holds this one. A box that has a relay reads it seldom, and
-    /// the more seldom the more boxes there are. One that reads the store itself looks soon, since it may have started
-    /// a moment before the others: it would stay a reader beside the one of all.
+    /// Interval until the list of boxes is read again, after so many reads of a list that contains this box. A box that
+    /// has a relay reads it rarely, and less often the more boxes there are. A box that reads the store itself checks
+    /// soon: it may have started a moment before the others and would remain a second reader.
     [[nodiscard]] Duration list_interval(unsigned reads, Instant now) const;
     /// Pause after so many failed reads of the store in a row.
     [[nodiscard]] Duration retry_pause(unsigned failures, Instant now) const;
-    /// Whether a box that gets no answer from the store goes on trying it for the endpoints alone, and for the
-    /// configuration when that was answered, which spares the store a part of the calls of hundreds of boxes. The boxes
-    /// that others wait for try it for both.
+    /// Whether a box whose reads fail retries only the endpoints, and reads the configuration once that succeeds. This
+    /// saves the store part of the calls of hundreds of boxes. Boxes that serve as relays retry both topics.
     [[nodiscard]] bool retries_one_topic(Instant now) const { return this->has_preferred_peers(now); }
-    /// Longest time for a relay's whole answer: one that takes longer is too old to be used when it has come, since it
-    /// vouches for no later moment than its question.
+    /// Time limit for a relay's whole response: a slower one is too old when it is complete, since its data is
+    /// confirmed no later than the request was sent.
     [[nodiscard]] Duration max_answer_time() const { return this->max_age(); }
     /// Pause between a relay's reads of the endpoints.
     [[nodiscard]] Duration read_interval() const { return this->tightest_bound() / 5; }
-    /// Longest wait of a relay's read of the configuration. What an answer vouches for is as old as the read is long,
-    /// and stays in use for as long again; this leaves room for a store that takes a quarter of a second.
+    /// Long-poll time of a relay's read of the configuration. Confirmed data is as old as the read takes and remains in
+    /// use for as long again; this leaves time for a store that takes a quarter of a second.
     [[nodiscard]] Duration read_wait() const { return this->tightest_bound() / 8; }
 
 private:
@@ -109,7 +111,7 @@
         Instant since;
         Instant retry_at;
         Duration pause { 0 };
-        /// It answers, but with what is too old.
+        /// The relay responds, but its data is too old.
         bool is_stale { false };
     };
 
@@ -121,89 +123,90 @@
     {
         return std::min(this->bounds.apply_within, this->bounds.drain_within);
     }
-    /// The boxes of the own failure domain that this one may ask, in order; empty if it comes first itself or the
-    /// domain has too few.
+    /// The boxes of the own failure domain that this box may use as relays, in order; empty if this box comes first or
+    /// the domain has too few boxes.
     [[nodiscard]] std::vector<BoxRecord> candidates() const;
-    /// The boxes that this one may ask now, in order.
+    /// All boxes that this box may use as relays now, in order.
     [[nodiscard]] std::vector<BoxRecord> candidates(Instant now) const;
-    /// The boxes that one which can't reach the store asks beside these: the first of every other domain, then a
-    /// few of its own, others each time. Where the store serves half of the boxes, one in two knows something recent.
+    /// Additional relays of a box that can't reach the store: the first box of every other domain, then a few of its
+    /// own domain, which change over time. If the store serves half of the boxes, every second one has recent data.
     [[nodiscard]] std::vector<BoxRecord> fallback_relays(Instant now) const;
     [[nodiscard]] bool is_backed_off(BoxRecord const& box, Instant now) const;
     [[nodiscard]] bool is_store_unreachable(Instant now) const;
-    /// Whether other boxes of the domain are asked before this one.
+    /// Whether other boxes of the domain precede this one as relays.
     [[nodiscard]] bool has_preferred_peers(Instant now) const;
-    /// Whether a box of another domain takes what the store says from this one.
+    /// Whether boxes of other domains use this one as a relay.
     [[nodiscard]] bool serves_other_domains(Instant now) const;
-    /// The first of the given boxes that is not in trouble; of those that answer with what is too old, the one that was
-    /// not asked for longest.
+    /// The first box that is not backed off after a failure; otherwise, of the boxes with stale data, the one whose
+    /// retry is due first.
     [[nodiscard]] std::optional<BoxRecord> first_usable(std::vector<BoxRecord> const& boxes, Instant now) const;
     void update_domain_relays();
     void record_stale_answer(std::string const& name, Instant now);
 
-    /// Part of the bounds that what a relay vouches for may be old. The rest is for noticing it and for a read of the
+    /// Largest age of a relay's data, as a share of the deadlines. The rest is for detecting it and for a read of the
     /// store, which takes a quarter of a second when the store is slow.
     static constexpr double max_age_share = 0.55;
-    /// In smaller failure domains a relay saves too little for what can go wrong with it.
+    /// In smaller failure domains a relay saves too few calls to be worth its failures.
     static constexpr std::size_t min_boxes_for_relays = 4;
-    /// So many boxes are asked at most, so that a store out of reach doesn't make every box a relay.
+    /// Limits how many boxes become relays when the store is unreachable.
     static constexpr std::size_t max_candidates = 3;
-    /// A relay that failed is asked again after this, and twice as long after each further failure.
+    /// A failed relay is retried after this pause, which doubles with each further failure.
     static constexpr Duration first_relay_pause { std::chrono::seconds(3) };
     static constexpr Duration max_relay_pause { std::chrono::seconds(60) };
-    /// The same of one that answers, but with what is too old: the store may be back for it at any moment.
+    /// Longest pause for a relay with stale data, which may reach the store again at any moment.
     static constexpr Duration max_stale_pause { std::chrono::seconds(12) };
-    /// A box that was not asked for this long is no relay any more. Several intervals of asking at any bounds seen.
+    /// A box that received no request for this long is no longer a relay. Several poll intervals with any usual
+    /// deadlines.
     static constexpr Duration contact_timeout { std::chrono::seconds(2) };
-    /// After a failed read of its own a box counts as cut off from the store for so long: longer than the longest pause
-    /// until its next one, else it would ask nobody in between.
+    /// For this long after a failed read a box considers the store unreachable: longer than the longest pause until its
+    /// next read, otherwise it would use no relay in between.
     static constexpr Duration store_failure_retention { std::chrono::seconds(10) };
-    /// The list is only advice, and a box that is missing from it costs calls and nothing else.
+    /// The list is only a hint: a box that is missing from it causes additional calls and nothing else.
     static constexpr Duration base_list_interval { std::chrono::seconds(60) };
-    /// With more boxes the pause grows with their number, so that the list is read no more often the more there are.
+    /// With more boxes the interval grows with their number, so that the total rate of reads stays the same.
     static constexpr std::size_t boxes_with_base_list_interval = 30;
-    /// Of a box that reads the store itself; doubled with each reading.
+    /// For a box that reads the store itself; doubles with each read.
     static constexpr Duration first_list_interval { std::chrono::seconds(2) };
-    /// Boxes of the own domain among those that a box which can't reach the store asks: with the first boxes of all
-    /// domains some ten, which it asks in turn in a quarter of the bound.
+    /// Fallback relays of the own domain: with the first boxes of all domains some ten, all tried within a quarter of
+    /// the deadline.
     static constexpr std::size_t max_fallback_peers = 4;
-    /// For so long they are the same: each is asked once.
+    /// The selection stays the same for this long, in which each of them is tried once.
     static constexpr Duration fallback_rotation { std::chrono::seconds(2) };
-    /// After the first failed read of the store, which may have been one lost answer.
+    /// After the first failed read of the store, which may have been a single lost response.
     static constexpr Duration first_store_pause { std::chrono::milliseconds(100) };
-    /// Of a box that its domain relies on, and of each where there are few.
+    /// For the relays of a domain, and for every box where there are few.
     static constexpr Duration max_store_pause { std::chrono::milliseconds(800) };
-    /// So many boxes may try the store that often; with more, each but the first of a domain pauses as much longer, so
-    /// that the calls of all don't grow with their number.
+    /// Up to this number of boxes may retry that often; with more, the pause of all but the first box of a domain grows
+    /// in proportion, so that the total rate of calls does not grow.
     static constexpr std::size_t boxes_with_short_pauses = 16;
-    /// A box that no relay helps is without the store for so long at most: a little more than the time for which
-    /// configurations are good.
+    /// Limits how long a box without any working relay stays without the store: a little longer than configurations
+    /// remain valid.
     static constexpr Duration max_scaled_store_pause { std::chrono::milliseconds(6400) };
-    /// A record whose box gave no answer for this long is taken to be left over: longer than any restart.
+    /// A box without a response for this long has an obsolete record: longer than any restart takes.
     static constexpr Duration unresponsive_after { std::chrono::minutes(5) };
 
     std::string box_name;
     std::string failure_domain;
     ControlBounds bounds;
     BoxDirectory directory;
-    /// The order in which boxes of this failure domain are asked.
+    /// The order in which boxes of this failure domain are used as relays.
     std::vector<BoxRecord> order;
-    /// The first box of each failure domain that has a relay, in the same order.
+    /// The first box of each failure domain that is large enough for relays, in the same order.
     std::vector<BoxRecord> domain_relays;
     std::map<std::string, RelayFailure> relay_failures;
-    /// Since when the relay asked answers with what is too old; nothing if it does not.
+    /// Since when the relay in use responds with stale data; empty if it does not.
     std::optional<Instant> stale_since;
-    /// The last moment that a relay vouched for.
+    /// The latest moment up to which a relay confirmed its data.
     std::optional<Instant> confirmed_at;
     std::optional<Instant> requested_at;
     std::optional<Instant> requested_by_other_domain_at;
     std::optional<Instant> store_failed_at;
-    /// When another box last asked this one or answered it.
+    /// When this box last received a request or a response of another box.
     std::optional<Instant> last_contact_at;
-    /// Whether the directory was read or could not be. Until then a box waits, since a relay would save its first
-    /// reads.
+    /// Whether the list of boxes was read, or the read failed. Until then the box waits, since a relay would save its
+    /// first reads.
     bool is_started { false };
-    /// How long a box that has just started waits for the list of boxes, or for a relay's first answer.
+    /// How long a box that has just started waits for the list of boxes, or for a relay's first response.
     std::optional<Instant> waits_until;
 };
 
--- a/Libraries/LibMembership/DemandPool.h
+++ b/Libraries/LibMembership/DemandPool.h
@@ -4,12 +4,12 @@
 
 namespace Membership {
 
-/// Adds up what the boxes that ask a relay have lately seen of their services' demand.
+/// Adds up the recent demand for each service at the boxes that use this one as a relay.
 class DemandPool {
 public:
-    /// What a box told in its latest question, in place of what it told before.
+    /// Replaces the demand that a box sent before by that of its latest request.
     void update(std::string const& requester, std::map<std::string, Routing::WorkTotals> work, Instant now);
-    /// The sums over all boxes that were heard of a short while ago.
+    /// The sums over all boxes with a recent request.
     [[nodiscard]] std::map<std::string, Routing::WorkTotals> totals(Instant now) const;
 
 private:
@@ -18,7 +18,7 @@
         Instant at;
     };
 
-    /// A box that was silent for longer asks another relay, reads the store itself or is gone.
+    /// A box that sent nothing for longer uses another relay, reads the store itself or no longer runs.
     static constexpr Duration retention { std::chrono::seconds(3) };
 
     std::map<std::string, Demand> boxes;
--- a/Libraries/LibMembership/DepartedEndpoints.h
+++ b/Libraries/LibMembership/DepartedEndpoints.h
@@ -7,19 +7,20 @@
 using Core::Duration;
 using Core::Instant;
 
-/// Endpoints that said that they leave, or whose entries went, so that an older copy of the store's list doesn't bring
-/// them back: nothing tells a box that reads such a copy that an entry in it is out of date.
+/// Endpoints that are draining or whose entries were removed, so that an older copy of the store's list does not bring
+/// them back: a box that reads such a copy can't see that an entry is out of date.
 class DepartedEndpoints {
 public:
-    /// The endpoint leaves, or its entry went.
+    /// The endpoint is draining, or its entry was removed.
     void add(Routing::EndpointLife const& life, Instant now);
-    /// It wrote its entry again.
+    /// The endpoint wrote its entry again.
     void remove(Routing::EndpointLife const& life) { this->departures.erase(life); }
-    /// Takes the endpoints that left out of a list that may be older than what is known.
+    /// Removes the departed endpoints from a list that may be out of date.
     void remove_from(std::vector<Routing::EndpointRecord>& records, Instant now) const;
 
 private:
-    /// Older than any copy from which the store comes back, and than any server that serves on after its entry went.
+    /// Longer than the age of any copy from which the store is restored, and than any server keeps serving after its
+    /// entry was removed.
     static constexpr Duration retention { std::chrono::seconds(60) };
     /// Some 60 bytes each.
     static constexpr std::size_t max_entries = 1024;
--- a/Libraries/LibMembership/EndpointInstanceWire.h
+++ b/Libraries/LibMembership/EndpointInstanceWire.h
@@ -3,7 +3,7 @@
 #include <LibMembership/Relay.pb.h>
 #include <LibRouting/EndpointDirectory.h>
 
-/// The life of an endpoint as boxes write it to each other.
+/// Conversion of endpoint instances to and from messages between boxes.
 namespace Membership {
 
 inline void write_instance(cleatbeam::membership::EndpointLife& wire_message, Routing::EndpointLife const& endpoint)
--- a/Libraries/LibMembership/EndpointJournal.h
+++ b/Libraries/LibMembership/EndpointJournal.h
@@ -4,16 +4,16 @@
 
 namespace Membership {
 
-/// An endpoint that came, changed or is no longer listed.
+/// An endpoint that was added, changed or removed.
 struct EndpointChange {
     std::string incarnation;
-    /// Nothing when it is no longer listed.
+    /// Empty if the endpoint was removed.
     std::optional<Routing::EndpointRecord> record;
 
     bool operator==(EndpointChange const&) const = default;
 };
 
-/// What changed in the list of endpoints since an earlier revision, or all of it.
+/// The changes of the list of endpoints since an earlier revision, or the whole list.
 struct EndpointChanges {
     std::uint64_t revision { 0 };
     bool is_whole { false };
@@ -22,19 +22,19 @@
     bool operator==(EndpointChanges const&) const = default;
 };
 
-/// The list of endpoints with the revision at which each last changed, so that another box can be told what is new to
-/// it. Heartbeats that change nothing else are no change.
+/// The list of endpoints with the revision of each entry's last change, so that another box can request only the
+/// changes. A heartbeat alone is no change.
 class EndpointJournal {
 public:
     void put(Routing::EndpointRecord const& record);
-    /// False if it was not listed.
+    /// False if the endpoint was not listed.
     bool remove(std::string const& incarnation);
-    /// Takes a whole list in place of what was known.
+    /// Replaces the whole list.
     void replace_all(std::vector<Routing::EndpointRecord> const& records);
 
-    /// Null for one that is not listed.
+    /// Null for an endpoint that is not listed.
     [[nodiscard]] Routing::EndpointRecord const* find(std::string const& incarnation) const;
-    /// What is new since `revision`; the whole list if that can't be told any more.
+    /// The changes since `revision`; the whole list if these are no longer known.
     [[nodiscard]] EndpointChanges changes_since(std::uint64_t revision) const;
     [[nodiscard]] std::uint64_t revision() const { return this->last_revision; }
 
@@ -46,13 +46,13 @@
 
     void discard_old_removals();
 
-    /// Removals that are remembered. An asker that is further behind is told the whole list.
+    /// Number of removals that are kept. A box that is further behind gets the whole list.
     static constexpr std::size_t max_removals = 256;
 
     std::map<std::string, Entry> entries;
     std::size_t removals { 0 };
     std::uint64_t last_revision { 0 };
-    /// Changes up to this revision may have been forgotten.
+    /// Changes up to this revision may have been discarded.
     std::uint64_t discarded_up_to { 0 };
 };
 
--- a/Libraries/LibMembership/EndpointNoticeMessage.h
+++ b/Libraries/LibMembership/EndpointNoticeMessage.h
@@ -9,21 +9,21 @@
 
 namespace Membership {
 
-/// What boxes tell each other of what endpoints say in their answers.
+/// Notices that endpoints sent in their answers, exchanged between boxes.
 struct EndpointNoticeMessage {
     std::vector<Routing::EndpointNotice> notices;
-    /// The sender wants to be told all.
+    /// The sender requests all notices of the receiver.
     bool requests_all { false };
 
     bool operator==(EndpointNoticeMessage const&) const = default;
 };
 
-/// In one message, at most. Some 40 bytes each, so a message fits into one packet of 1,500 bytes.
+/// Some 40 bytes each, so a message fits into one packet of 1,500 bytes.
 inline constexpr std::size_t max_notices_per_message = 24;
 
-/// `now` is this box's clock: boxes tell each other ages, since their clocks have nothing to do with each other.
+/// `now` is this box's clock: messages contain ages, since the clocks of boxes are not synchronized.
 [[nodiscard]] std::string encode(EndpointNoticeMessage const& message, Core::Instant now);
-/// Nothing for bytes that are no such message, or hold what no box tells.
+/// Nothing for bytes that are no such message, or that contain invalid values.
 [[nodiscard]] std::optional<EndpointNoticeMessage> decode_endpoint_notices(std::string_view bytes, Core::Instant now);
 
 }
--- a/Libraries/LibMembership/LoadMessages.h
+++ b/Libraries/LibMembership/LoadMessages.h
@@ -10,24 +10,24 @@
 
 namespace Membership {
 
-/// What a box knows from the store, told beside its load: a box that starts just after the store came back from a copy
-/// reads an older configuration there than others know.
+/// Versions of the store's data that a box knows, sent with its load: just after the store was restored from a copy, a
+/// starting box reads an older configuration than others know.
 struct StoreVersions {
     std::uint64_t configuration_version { 0 };
     std::uint64_t store_era { 0 };
-    /// How long ago the box heard that the era began; nothing if it heard of no earlier one.
+    /// Time since the box observed the start of the era; empty if it observed no earlier era.
     std::optional<Duration> era_began_ago;
-    /// How long the version has been known to the box or to whoever told it; nothing if neither said so.
+    /// How long the version has been known to the box or to the box it came from; empty if neither reported it.
     std::optional<Duration> configuration_known_for {};
 
     bool operator==(StoreVersions const&) const = default;
 };
 
-/// A load report as it goes from box to box.
+/// A load report as sent between boxes.
 struct LoadMessage {
-    /// The process that tells it, drawn at random when it started; never 0.
+    /// The sending process, drawn at random when it started; never 0.
     std::uint64_t sender { 0 };
-    /// By the sender's steady clock, which has nothing to do with that of the box that hears it.
+    /// By the sender's steady clock, which is not synchronized with the receiver's.
     Instant sent_at;
     Routing::LoadReport report;
     StoreVersions store_versions {};
@@ -35,21 +35,21 @@
     bool operator==(LoadMessage const&) const = default;
 };
 
-/// The endpoints with the most of this box's work come first; what does not fit into a datagram is left out.
+/// Endpoints with the most work from this box come first; those that don't fit into a datagram are left out.
 [[nodiscard]] std::string encode(LoadMessage const& message);
-/// Nothing for other bytes.
+/// Nothing for bytes that are no such message.
 [[nodiscard]] std::optional<LoadMessage> decode_load(std::string_view bytes);
 
-/// Tells how old a message is that came from a box with another clock, and which messages come too late.
+/// Estimates the age of messages from boxes with other clocks, and drops messages that arrive out of order.
 ///
-/// The least difference seen between the clocks of sender and receiver belongs to the fastest message so far. A message
-/// whose difference is larger was that much longer on its way, or lay in a buffer while this box stood still. So a
-/// belief never looks fresher than it is, but for the time that the fastest message took.
+/// The smallest difference between the clocks of sender and receiver so far belongs to the fastest message. A message
+/// with a larger difference took that much longer, or waited in a buffer while this box was suspended. So a report
+/// never appears newer than it is, except for the transit time of the fastest message.
 class MessageAgeTracker {
 public:
-    /// The age of a message that was read at `now`; nothing for one that an equally new or newer one overtook.
+    /// The age of a message that was read at `now`; empty if one sent at the same time or later was read before.
     [[nodiscard]] std::optional<Duration> age(LoadMessage const& message, Instant now);
-    /// Forgets senders that have been silent for long.
+    /// Removes senders without recent messages.
     void expire(Instant now);
 
 private:
@@ -59,13 +59,13 @@
         Instant received_at;
     };
 
-    /// Longer than any freeze of a box after which the same process goes on.
+    /// Longer than any suspension of a box after which the process continues.
     static constexpr Duration retention { std::chrono::seconds(60) };
 
     std::map<std::uint64_t, Sender> senders;
 };
 
-/// How often a box tells its load, and to how many others each time.
+/// How often a box sends its load, and to how many others each time.
 struct ReportPlan {
     Duration interval { 0 };
     std::size_t receivers { 0 };
@@ -73,8 +73,8 @@
     bool operator==(ReportPlan const&) const = default;
 };
 
-/// Keeps what a box sends within a fixed number of bytes a second: few others are told often, many less often, and of
-/// very many only some each time.
+/// Limits the bytes that a box sends per second: few others receive every report, many receive reports less often, and
+/// of very many only some receive each report.
 [[nodiscard]] ReportPlan plan_reports(std::size_t others, std::size_t message_bytes);
 
 }
--- a/Libraries/LibMembership/RelayMessages.h
+++ b/Libraries/LibMembership/RelayMessages.h
@@ -8,70 +8,70 @@
 
 namespace Membership {
 
-/// What a box asks a relay.
+/// A box's request to a relay.
 struct ControlRequest {
-    /// The process that the asker's list of endpoints comes from, drawn at random when it started; 0 for none.
+    /// The process from which the requester's list of endpoints comes, drawn at random when it started; 0 for none.
     std::uint64_t source { 0 };
     /// The revision of that process's list.
     std::uint64_t revision { 0 };
     std::uint64_t configuration_version { 0 };
-    /// Name of the box that asks.
+    /// Name of the requesting box.
     std::string requester;
-    /// What the asker's recent requests ask of engines, by service.
+    /// Work that the requester's recent requests cause at engines, by service.
     std::map<std::string, Routing::WorkTotals> work;
-    /// Its failure domain; empty from boxes that ask within their own only.
+    /// Failure domain of the requester; empty from boxes that use relays of their own domain only.
     std::string requester_domain;
 
     bool operator==(ControlRequest const&) const = default;
 };
 
-/// The operator's record: compressed, or as the store holds it.
+/// The operator's record, compressed or in the store's form.
 using ConfigurationRecord = std::variant<CompressedText, std::string>;
 
-/// What a relay knows from the platform's store, and how old that is.
+/// The store data that a relay has, and its age.
 struct ControlAnswer {
     std::uint64_t source { 0 };
     EndpointChanges endpoints;
-    /// Time since the moment that the list of endpoints vouches for.
+    /// Age of the list of endpoints: time since the moment up to which it is confirmed.
     Duration endpoints_age { 0 };
-    /// Offset from which to go on reading the store's topic of endpoints.
+    /// Offset at which to continue reading the store's topic of endpoints.
     std::uint64_t endpoints_next { 0 };
     std::uint64_t configuration_version { 0 };
-    /// The operator's record; nothing if the asker has it, or if it is too long to be passed on. As the store holds it
-    /// only from a box that doesn't compress it.
+    /// The operator's record; empty if the requester has it or if it is too long to send. In the store's form only from
+    /// a box that doesn't compress it.
     std::optional<ConfigurationRecord> configuration;
     Duration configuration_age { 0 };
     std::uint64_t configuration_next { 0 };
-    /// How long the version has been known to the relay or to whoever told it; nothing if neither said so, or if
-    /// the asker has it.
+    /// How long the version has been known to the relay or to the box it came from; empty if neither reported it, or if
+    /// the requester has the version.
     std::optional<Duration> configuration_known_for;
-    /// How long ago the store answered the relay again after a loss.
+    /// Time since the store responded to the relay again after an outage.
     std::optional<Duration> store_returned_ago;
-    /// Which history of the store all of this is of; 0 if the relay doesn't know.
+    /// Era of the store's history that the data belongs to; 0 if the relay doesn't know it.
     std::uint64_t store_era { 0 };
-    /// How long ago the relay heard that the era began; nothing if it heard of no earlier one.
+    /// Time since the relay observed the start of the era; empty if it observed no earlier era.
     std::optional<Duration> store_era_began_ago;
-    /// The leader's last word that the relay has, as the leader told it, and how old it is; empty without any.
+    /// The relay's latest announcement of the leader, in its wire form, and its age; empty without any.
     std::string leader_announcement;
     Duration leader_announcement_age { 0 };
-    /// The part of each service's engines that long answers get at all boxes that ask this relay.
+    /// The share of each service's engines that long answers get at all boxes that use this relay.
     std::map<std::string, double> answer_shares;
 
     bool operator==(ControlAnswer const&) const = default;
 };
 
-/// The form of an answer between boxes, in two parts that follow one another: what each asker gets of its own, and what
-/// all that get it share.
+/// An encoded answer in two parts, sent one after the other: the first is specific to the requester, the second is
+/// shared by all requesters.
 struct EncodedAnswer {
     std::string own;
-    /// Nothing if the answer holds no configuration.
+    /// Null if the answer contains no configuration.
     std::shared_ptr<std::string const> shared;
 
     /// Both parts together.
     [[nodiscard]] std::string whole() const { return this->shared ? this->own + *this->shared : this->own; }
 };
 
-// The forms that these take between boxes, and a box's record in the store. Decoders give nothing for other bytes.
+// Messages between boxes, and the store's record of a box. Decoders return nothing for other bytes.
 [[nodiscard]] std::string encode(ControlRequest const& request);
 [[nodiscard]] std::optional<ControlRequest> decode_request(std::string const& bytes);
 [[nodiscard]] EncodedAnswer encode(ControlAnswer const& answer);
--- a/Libraries/LibMembership/StoreHistory.h
+++ b/Libraries/LibMembership/StoreHistory.h
@@ -10,37 +10,38 @@
 using Core::Duration;
 using Core::Instant;
 
-/// Which history of the platform's store a box knows.
+/// The era of the platform's store that a box knows.
 ///
-/// The store may come back from a copy some seconds old. What was written since is gone until its writers write it
-/// again, offsets are given out again, and a number in all its answers, the era, rises. So a position in a log is of
-/// one era, and for a short time after a rise the store's silence about something says nothing.
+/// The store may be restored from a copy that is some seconds old. Later writes are lost until their writers repeat
+/// them, offsets are assigned again, and the era, a number in all responses of the store, rises. So an offset in a log
+/// is valid in one era only, and for a short time after a rise an entry may be missing from the store although it
+/// exists.
 class StoreHistory {
 public:
-    /// What was heard against what is known.
+    /// An observed era, compared with the known one.
     enum class Relation {
         SameHistory,
-        /// The store came back from a copy since this box last heard of it.
+        /// The store was restored from a copy since this box last observed its era.
         LaterHistory,
-        /// Of before the copy: nothing in it holds any more.
+        /// From before the restore: no longer valid.
         EarlierHistory,
     };
 
-    /// An answer, of the store or of another box, is of this era; 0 from one that doesn't tell. `risen_at` is when
-    /// another box heard of the era's beginning; nothing if it heard of none, or from the store.
+    /// Observes the era of a response of the store or of another box; 0 if the response has none. `era_began_at` is
+    /// when another box observed the start of the era; empty if it did not, or if the response is of the store.
     Relation observe(std::uint64_t era, std::optional<Instant> era_began_at, Instant now);
-    /// 0 before any was heard.
+    /// 0 before any era was observed.
     [[nodiscard]] std::uint64_t era() const { return this->known_era; }
-    /// When the era's beginning was heard of; nothing if this box heard of no earlier one.
+    /// When the start of the era was observed; empty if this box knows no earlier era.
     [[nodiscard]] std::optional<Instant> const& era_began_at() const { return this->began_at; }
-    /// Whether writers may not yet have written again what the copy lacks.
+    /// Whether the store may still lack entries that their writers have to repeat.
     [[nodiscard]] bool is_settling(Instant now) const
     {
         return this->began_at && now - *this->began_at <= settling_time;
     }
 
 private:
-    /// The platform's pages say that endpoints are back within two seconds; operators' tools write as soon.
+    /// The platform's documentation says that endpoints are back within two seconds; operators' tools write as soon.
     static constexpr Duration settling_time { std::chrono::seconds(2) };
 
     std::uint64_t known_era { 0 };
