--- a/Benchmarks/BenchCompressedText.cpp
+++ b/Benchmarks/BenchCompressedText.cpp
@@ -15,7 +15,7 @@
     return made;
 }
 
-/// A record of the operator: routes of 36 hosts, each with a prefix drawn at random.
+/// An operator's record with routes of 36 hosts, each with a random path prefix.
 std::string record_of(std::int64_t routes)
 {
     constexpr std::array kinds { "idempotent", "non_idempotent", "streaming" };
--- a/Libraries/LibLeader/FleetPlan.cpp
+++ b/Libraries/LibLeader/FleetPlan.cpp
@@ -12,10 +12,10 @@
     return std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
 }
 
-/// What the policy asks for, of a demand that may not be known yet and the most servers there can be.
+/// Computes the number of servers that the policy calls for.
 struct TargetCount {
     std::optional<double> demand;
-    /// For how long demand has been seen.
+    /// How long demand has been observed.
     Duration observed_for { 0 };
     unsigned max_servers { 0 };
 
@@ -29,7 +29,7 @@
     }
 };
 
-/// How long demand counts; nothing where it doesn't matter.
+/// Length of the demand window; 0 for a policy without one.
 struct DemandWindow {
     Duration operator()(MaximumFleet const&) const { return Duration { 0 }; }
     Duration operator()(FollowDemand const& follow) const { return follow.demand_window; }
@@ -97,14 +97,16 @@
     auto const target_count = this->target_count(scaling, now);
     auto const share = (target_count + domains - 1) / domains;
     auto const floor = std::max(1U, scaling.fewest);
-    // NOTE: With a single failure domain all cheap servers may go at once, so half of the others stay.
+    // NOTE: With a single failure domain all revocable servers may be revoked at once, so half of the servers are
+    // permanent.
     auto const permanent_floor = domains > 1 ? floor : std::max(floor, share / 2);
     auto const revocable_share = is_revocable_cheap && share > permanent_floor ? share - permanent_floor : 0;
     auto const permanent_share = is_revocable_cheap ? permanent_floor : std::max(floor, share);
     auto const revocable_running = sum_of(running, ServerKind::Revocable);
     auto const permanent_running = sum_of(running, ServerKind::Permanent);
     auto const servers_after_release = revocable_running + domains * permanent_share;
-    // NOTE: What runs is given back once those that replace it take requests, or cover as much as runs now.
+    // NOTE: Running permanent servers are released once enough replacements accept requests, or once there are as many
+    // revocable servers as permanent ones.
     plan.may_release
         = servers_after_release >= static_cast<unsigned>(min_replacement_share * static_cast<double>(target_count))
         || revocable_running >= permanent_running;
@@ -119,7 +121,8 @@
         ServerCounts counts { permanent_share, revocable_share };
         if (!plan.may_release)
             counts.permanent = std::max(counts.permanent, running_here.permanent);
-        // NOTE: Where no cheap ones are to be had, others make up what the demand lacks, the cheapest domain first.
+        // NOTE: Where revocable servers are unavailable, permanent ones cover the missing demand, in the cheapest
+        // domain first.
         if (plan.may_release && this->demand() && this->is_refused(domain, ServerKind::Revocable)) {
             auto const needed = static_cast<unsigned>(std::ceil(*this->demand()));
             auto const shortfall
@@ -157,7 +160,8 @@
         auto const running_here = found == running.end() ? ServerCounts {} : found->second;
         if (scaling.revocable_price)
             add_if_due(domain, ServerKind::Revocable, counts.revocable, running_here.revocable);
-        // NOTE: What runs stays without an order, and the list of servers may not be whole yet.
+        // NOTE: Permanent servers keep running without an order, and the list of running servers may still be
+        // incomplete.
         if (plan.may_release)
             add_if_due(domain, ServerKind::Permanent, counts.permanent, running_here.permanent);
     }
@@ -167,7 +171,7 @@
 void FleetPlan::accepted(ServerOrder const& order, Instant now)
 {
     auto& state = this->orders[{ order.domain, order.kind }];
-    // NOTE: An order that is given again since its servers did not come waits longer each time.
+    // NOTE: An order that is repeated because its servers did not start waits longer each time.
     bool const is_repeated = state.count == order.count && !state.is_refused && state.at != Instant {};
     state.pause
         = is_repeated ? std::min(std::max(2 * state.pause, first_retry_pause), max_retry_pause) : Duration { 0 };
--- a/Libraries/LibLeader/LeaderElection.cpp
+++ b/Libraries/LibLeader/LeaderElection.cpp
@@ -21,7 +21,7 @@
 
 void LeaderElection::stepped_down(Instant now)
 {
-    // NOTE: Two leases, so that no other leader's time lies between two of this one's within a lease.
+    // NOTE: Two leases, so that the shared time does not change from this leader to another and back within a lease.
     this->claims_blocked_until = now + 2 * this->lease;
 }
 
--- a/Libraries/LibLeader/LeaderLog.cpp
+++ b/Libraries/LibLeader/LeaderLog.cpp
@@ -31,8 +31,8 @@
     return Claim { message.box(), message.process(), message.era(), message.first_window() };
 }
 
-/// The history of the store is part of the key: a leader that wrote before a return from a copy must not replace what
-/// its successor wrote after it.
+/// The era is part of the key: a leader that writes a report of an earlier era must not replace one that its successor
+/// wrote after the store was restored from a copy.
 std::string report_key(std::uint64_t window, std::uint64_t era)
 {
     return std::string(report_key_prefix) + std::to_string(window) + "/" + std::to_string(era);
--- a/Libraries/LibLeader/LeaderMessages.cpp
+++ b/Libraries/LibLeader/LeaderMessages.cpp
@@ -8,7 +8,7 @@
 
 namespace wire = cleatbeam::leader;
 
-/// A box keeps fewer windows, and no deployment planned has more accounts.
+/// Limits of a message: a box keeps fewer windows, and no deployment has more accounts.
 constexpr int max_windows = 32;
 constexpr int max_accounts = 4096;
 constexpr std::size_t max_name_size = 256;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Nothing for more accounts than there can be, or a name that is none.
+/// Nothing if there are too many accounts or a name is too long.
 template <typename Message> std::optional<AccountCounts> counts_from(Message const& message)
 {
     if (message.counts_size() > max_accounts)
--- a/Libraries/LibMembership/BoxDirectory.cpp
+++ b/Libraries/LibMembership/BoxDirectory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// From here on a link counts as wide: 100 Mbit/s pass a configuration of 250 KB on to 50 boxes within a second.
+/// Links count as wide from here: 100 Mbit/s transfer a configuration of 250 KB to 50 boxes within a second.
 constexpr std::uint64_t wide_link_bytes_per_second = 12'500'000;
 
 struct Rank {
--- a/Libraries/LibMembership/CompressedText.cpp
+++ b/Libraries/LibMembership/CompressedText.cpp
@@ -10,23 +10,24 @@
 
 namespace zlib = boost::beast::zlib;
 
-/// Of 494,557 bytes with 2,850 routes, level 3 leaves 60,121, level 1 leaves 67,479 and level 6 leaves 51,615,
-/// for 20.7, 20.3 and 38.8 million instructions; decoding the same record takes 29.7 million (callgrind). So the event
-/// loop stands still for less time at level 3 than it does for each record anyway, and at level 6 for more.
+/// For 494,557 bytes with 2,850 routes, level 3 produces 60,121 bytes, level 1 67,479 and level 6 51,615, in 20.7, 20.3
+/// and 38.8 million instructions; decoding the same record takes 29.7 million. So level 3 blocks the event loop for
+/// less time than the decoding of each record does, and level 6 for more.
 constexpr int level = 3;
-/// The base two logarithm of the window, and the format's greatest: names of hosts come back thousands of bytes later.
+/// Base two logarithm of the window size, the format's maximum: host names repeat at distances of thousands of bytes.
 constexpr int window_bits = 15;
-/// The library's own choice: 256 KB while a text is compressed, with the window.
+/// The library's default: 256 KB while a text is compressed, with the window.
 constexpr int memory_level = 8;
-/// Bytes that are made at a time.
+/// Size of the output buffer, in bytes.
 constexpr std::size_t piece_size = 16UL * 1024;
-/// RFC 1951: at best one bit names 258 bytes' length and one their distance, so a byte stands for at most 1,032.
+/// RFC 1951: at best one bit encodes a length of 258 bytes and one bit their distance, so a byte encodes at most 1,032
+/// bytes.
 constexpr std::uint64_t max_text_per_byte = 1032;
-/// What an empty stored block looks like. Texts end with one and not with the format's own end, since the library's
-/// reader looks further ahead than the shortest codes are long and finds no end where nothing follows it.
+/// An empty stored block. Texts end with one instead of the format's final block, since the library's decoder reads
+/// ahead further than the shortest codes are long, and misses a final block at the very end of its input.
 constexpr std::string_view end_marker { "\0\0\xff\xff", 4 };
 
-/// Writes all that the stream has for this input and way of flushing; false if it reports an error.
+/// Appends all output of the stream for this input and flush mode; false if the stream reports an error.
 bool write_all(zlib::deflate_stream& stream, zlib::z_params& progress, zlib::Flush flush, std::string& bytes)
 {
     std::array<char, piece_size> piece {};
@@ -36,7 +37,7 @@
         boost::beast::error_code error;
         stream.write(progress, flush, error);
         bytes.append(piece.data(), piece.size() - progress.avail_out);
-        // NOTE: The stream calls it a lack of buffers when it has nothing left to do.
+        // NOTE: The stream reports a lack of buffers when it has no more output.
         if (error && error != zlib::error::need_buffers)
             return false;
     } while (progress.avail_out == 0);
@@ -68,12 +69,12 @@
 std::optional<CompressedText> CompressedText::of(std::string_view text, Core::LastReason& last_reason)
 {
     if (text.size() > max_text_size) {
-        last_reason.text = "text too long to be passed on";
+        last_reason.text = "text exceeds the size limit";
         return {};
     }
     auto bytes = deflated(text);
     if (!bytes.ends_with(end_marker)) {
-        last_reason.text = "text can't be compressed";
+        last_reason.text = "text could not be compressed";
         return {};
     }
     bytes.shrink_to_fit();
@@ -84,11 +85,11 @@
     std::string bytes, std::uint64_t text_size, Core::LastReason& last_reason)
 {
     if (text_size > max_text_size) {
-        last_reason.text = "compressed text too long";
+        last_reason.text = "compressed text exceeds the size limit";
         return {};
     }
     if (text_size > bytes.size() * max_text_per_byte) {
-        last_reason.text = "compressed text longer than its bytes can hold";
+        last_reason.text = "compressed text announced larger than its bytes can encode";
         return {};
     }
     return CompressedText(std::move(bytes), text_size);
@@ -97,10 +98,10 @@
 std::optional<std::string> CompressedText::text(Core::LastReason& last_reason) const
 {
     if (!this->bytes().ends_with(end_marker)) {
-        last_reason.text = "compressed text is cut off";
+        last_reason.text = "compressed text is truncated";
         return {};
     }
-    // NOTE: One byte more than was said, so that bytes that hold more are noticed; the stream never gets room for more.
+    // NOTE: One byte more than the expected size, to detect bytes that encode more; the stream never gets more room.
     std::string text(this->original_size + 1, '\0');
     zlib::inflate_stream stream;
     zlib::z_params progress {};
@@ -111,11 +112,11 @@
     boost::beast::error_code error;
     stream.write(progress, zlib::Flush::sync, error);
     if (error) {
-        last_reason.text = "compressed text is broken: " + error.message();
+        last_reason.text = "compressed text is corrupt: " + error.message();
         return {};
     }
     if (progress.total_out != this->original_size || progress.avail_in != 0) {
-        last_reason.text = "compressed text is not as long as was said";
+        last_reason.text = "compressed text differs from its announced size";
         return {};
     }
     text.resize(this->original_size);
--- a/Libraries/LibMembership/ControlSource.cpp
+++ b/Libraries/LibMembership/ControlSource.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Enough to come from any first pause to the longest.
+/// Enough to get from any first pause to the maximum; limits the shift.
 constexpr unsigned max_doublings = 10;
 
 }
@@ -94,7 +94,7 @@
     }
     if (this->order.empty())
         return boxes;
-    // NOTE: Each begins at another place, and at others as time goes on, so that they don't all ask the same ones.
+    // NOTE: Each box starts at a different position that changes over time, so that the requests are spread over all.
     auto const rotation = static_cast<std::uint64_t>(now.time_since_epoch() / fallback_rotation);
     auto const begin = XXH3_64bits(this->box_name.data(), this->box_name.size()) + rotation * max_fallback_peers;
     for (std::size_t index = 0; index < std::min(max_fallback_peers, this->order.size()); ++index) {
@@ -130,7 +130,7 @@
 std::optional<BoxRecord> ControlSource::relay(Instant now) const
 {
     auto boxes = this->candidates(now);
-    // NOTE: A box that the others rely on is the last to hear from them what the store says, unless it lost the store.
+    // NOTE: A box that serves as a relay is the last to get data from other boxes, unless it can't reach the store.
     for (auto& box : this->fallback_relays(now)) {
         if (std::ranges::find(boxes, box) == boxes.end())
             boxes.push_back(std::move(box));
@@ -152,12 +152,12 @@
 
 void ControlSource::record_stale_answer(std::string const& name, Instant now)
 {
-    // NOTE: A box that is asked for the first time has to read the store first, so it gets some time.
+    // NOTE: A relay that receives its first request has to read the store before its data is recent.
     if (!this->stale_since)
         this->stale_since = now;
     if (!this->is_store_unreachable(now) && now - *this->stale_since <= this->relay_timeout())
         return;
-    // NOTE: It lives, so it is asked again in its turn: whoever hears of the store first is found that way.
+    // NOTE: The relay responds, so it is retried soon: this finds the first box that reaches the store again.
     auto& failure = this->relay_failures[name];
     auto const pause = failure.is_stale ? std::min(failure.pause * 2, max_stale_pause) : first_relay_pause;
     failure = { now, now + pause, pause, true };
@@ -171,7 +171,7 @@
     auto& failure = position->second;
     if (is_new || failure.is_stale)
         failure = { now, now, first_relay_pause / 2, false };
-    // NOTE: Where all boxes lost power the others of the order may be up a moment later.
+    // NOTE: If all boxes lost power, the other candidates may be running a moment later.
     failure.pause = is_starting ? this->relay_timeout() : std::min(failure.pause * 2, max_relay_pause);
     failure.retry_at = now + failure.pause;
     this->stale_since.reset();
@@ -190,7 +190,7 @@
         return true;
     if (this->confirmed_at)
         return !this->is_recent(*this->confirmed_at, now);
-    // NOTE: A box that has just started asks a relay first, which spares it the first reads of the store.
+    // NOTE: A box that has just started uses a relay first, which saves its first reads of the store.
     if (!this->is_started)
         return false;
     bool const is_first_request = this->relay_failures.empty() && !this->stale_since && this->relay(now);
@@ -279,7 +279,7 @@
         first = std::max(first, max_pause / 2);
     }
     auto const pause = std::min(first * (1U << std::min(failures, max_doublings)), max_pause);
-    /// Boxes that lost the store together come back spread over half of the pause.
+    /// Boxes that lost the store at the same moment retry at times spread over half of the pause.
     constexpr double min_share = 0.75;
     constexpr double spread_share = 0.5;
     constexpr std::uint64_t steps = 1024;
--- a/Libraries/LibMembership/CrashMessages.cpp
+++ b/Libraries/LibMembership/CrashMessages.cpp
@@ -34,7 +34,7 @@
     return is_valid_count(wire_message.count()) && is_valid_instance(wire_message.endpoint());
 }
 
-/// An age from another box, cut off where nothing depends on it any more.
+/// An age received from another box, limited to the time for which crashes are kept.
 Duration bounded_age(std::uint64_t microseconds)
 {
     auto const max_age = static_cast<std::uint64_t>(Routing::CrashLedger::memory.count());
--- a/Libraries/LibMembership/EndpointNoticeMessage.cpp
+++ b/Libraries/LibMembership/EndpointNoticeMessage.cpp
@@ -19,7 +19,7 @@
 
 Routing::EndpointNotice read(wire::EndpointNotice const& wire_message, Core::Instant now)
 {
-    /// Nothing depends on how much longer ago something was said.
+    /// Greater ages make no difference.
     constexpr std::uint64_t max_age = std::chrono::microseconds(std::chrono::hours(24)).count();
     Core::Duration const age { static_cast<Core::Duration::rep>(std::min(wire_message.told_us_ago(), max_age)) };
     Routing::EndpointNotice notice { read_instance(wire_message.endpoint()), wire_message.version(),
--- a/Libraries/LibMembership/LoadMessages.cpp
+++ b/Libraries/LibMembership/LoadMessages.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t max_endpoints = 48;
 constexpr std::size_t max_services = 8;
 
-/// The endpoints with the most work, at most so many.
+/// The endpoints with the most work, limited to `max_endpoints`.
 std::vector<Routing::EndpointShare> busiest(std::vector<Routing::EndpointShare> endpoints)
 {
     if (endpoints.size() <= max_endpoints)
@@ -27,13 +27,13 @@
     return endpoints;
 }
 
-/// False for a number that no sound box tells.
+/// False for values that no correct box sends.
 bool is_valid_amount(double wire_message)
 {
     return std::isfinite(wire_message) && wire_message >= 0;
 }
 
-/// A time from another box, cut off where nothing depends on it any more.
+/// A time received from another box; greater ones make no difference.
 Duration bounded_time(std::uint64_t microseconds)
 {
     constexpr std::uint64_t longest = std::chrono::duration_cast<Duration>(std::chrono::hours(24)).count();
@@ -135,13 +135,13 @@
 
 ReportPlan plan_reports(std::size_t others, std::size_t message_bytes)
 {
-    /// What a box may send to others for this. The users allow 15 KB a second for control in all.
+    /// Rate limit for load reports of a box. The users allow 15 KB per second for all control traffic.
     constexpr double bytes_per_second = 12'000;
-    /// Addresses and checksums of a datagram.
+    /// Address and checksum overhead of a datagram.
     constexpr std::size_t packet_bytes = 28;
-    /// An engine reads a long prompt in some 100 ms, so a belief that is older is of another queue.
+    /// An engine processes a long prompt in some 100 ms, so an older report describes another queue.
     constexpr Duration min_interval { std::chrono::milliseconds(100) };
-    /// A little less than a report is remembered.
+    /// A little shorter than the time for which reports are kept.
     constexpr Duration longest { std::chrono::seconds(2) };
     auto const bytes_each = static_cast<double>(message_bytes + packet_bytes);
     auto const interval = std::clamp(
--- a/Libraries/LibMembership/RelayMessages.cpp
+++ b/Libraries/LibMembership/RelayMessages.cpp
@@ -19,7 +19,7 @@
     message.set_port(address.port);
 }
 
-/// Nothing for an address that nobody can connect to.
+/// Nothing for an address without a host or with an invalid port.
 std::optional<SocketAddress> address_from(wire::Address const& message)
 {
     constexpr std::uint32_t max_port = 65535;
@@ -65,18 +65,18 @@
 
 Duration duration_from(std::uint64_t microseconds)
 {
-    // NOTE: Bounded, so that a broken age is taken for a great one and never for a negative one.
+    // NOTE: Limited, so that an invalid age becomes a large one and never a negative one.
     constexpr std::uint64_t longest = std::chrono::duration_cast<Duration>(std::chrono::hours(24)).count();
     return Duration { static_cast<Duration::rep>(std::min(microseconds, longest)) };
 }
 
-/// Nothing in place of a number that is none, is negative or has no end.
+/// Zero in place of a value that is negative, infinite or not a number.
 double non_negative(double wire_message)
 {
     return std::isfinite(wire_message) && wire_message > 0 ? wire_message : 0;
 }
 
-/// What stands before the bytes of the compressed configuration in a message: the field's mark and their number.
+/// The bytes before the compressed configuration in a message: the field's tag and length.
 std::string compressed_configuration_header(std::size_t size)
 {
     using google::protobuf::internal::WireFormatLite;
@@ -90,7 +90,7 @@
     return begin;
 }
 
-/// Puts the configuration into the message, or gives the part that goes behind it.
+/// Stores the configuration in the message, or returns the bytes that follow the message.
 struct ConfigurationPart {
     wire::ControlAnswer& message;
 
@@ -106,7 +106,7 @@
     }
 };
 
-/// Puts the configuration of the message into the answer. False if it says what can't be.
+/// Moves the configuration from the message to the answer. False if its size is invalid.
 bool move_configuration(wire::ControlAnswer& message, ControlAnswer& answer)
 {
     if (message.has_configuration())
@@ -143,7 +143,8 @@
 
 std::optional<ControlRequest> decode_request(std::string const& bytes)
 {
-    /// No name of a box or a failure domain is longer, and no box has more services: a question is kept for seconds.
+    /// Names of boxes and failure domains are never longer, and no box has more services. Limits memory: a request is
+    /// kept for seconds.
     constexpr std::size_t max_name_size = 256;
     constexpr int max_services = 64;
     wire::ControlQuestion message;
--- a/Tests/LibLeader/TestFleetPlan.cpp
+++ b/Tests/LibLeader/TestFleetPlan.cpp
@@ -26,7 +26,7 @@
     return sum;
 }
 
-/// A platform that starts and takes away servers as it is told, in virtual time.
+/// A platform that starts and stops servers as ordered, in virtual time.
 struct Platform {
     Fleet running;
     Fleet ordered;
@@ -67,7 +67,7 @@
             this->place(plan, order, now);
     }
 
-    /// From one moment to another, in half seconds.
+    /// From one moment to another, in steps of half a second.
     void run(FleetPlan& plan, std::int64_t from, std::int64_t until, std::optional<double> demand)
     {
         for (auto now = from; now < until; now += 500)
@@ -85,7 +85,7 @@
 
 }
 
-TEST_CASE("cheap servers come first, and dear ones go only when those take requests")
+TEST_CASE("revocable servers are ordered first, and permanent ones are released only once those accept requests")
 {
     FleetPlan plan(MaximumFleet {});
     auto platform = with_permanent(20);
@@ -98,7 +98,7 @@
     CHECK(total(platform.running, ServerKind::Revocable) == 117);
 }
 
-TEST_CASE("never more servers are wanted in a failure domain than may be there")
+TEST_CASE("no more servers are ordered in a failure domain than allowed")
 {
     FleetPlan plan(MaximumFleet {});
     for (auto const permanent : { 0U, 1U, 20U, 39U, 40U }) {
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("where no servers can be taken away the dear ones carry all")
+TEST_CASE("without revocable servers, permanent ones carry the whole load")
 {
     FleetPlan plan(MaximumFleet {});
     auto const fleet = plan.target_fleet(scaling({}), with_permanent(20).running, at(0));
@@ -118,7 +118,7 @@
     CHECK(total(fleet, ServerKind::Revocable) == 0);
 }
 
-TEST_CASE("with one failure domain half of the servers can't be taken away")
+TEST_CASE("with a single failure domain, half of the servers are permanent")
 {
     FleetPlan plan(MaximumFleet {});
     Routing::ServerScaling const alone { 1, 40, std::chrono::seconds(4), 0.15, { { "a", 1.0 } } };
@@ -127,13 +127,13 @@
     CHECK(fleet.at("a").revocable == 20);
 }
 
-TEST_CASE("as demand needs: the largest demand of the last while decides, and calm hours cost less")
+TEST_CASE("FollowDemand orders servers for the largest demand of the window, and fewer when demand stays low")
 {
     FleetPlan plan(FollowDemand { 2, std::chrono::seconds(30) });
     auto platform = with_permanent(20);
     platform.run(plan, 0, 10'000, {});
     CHECK(total(platform.running, ServerKind::Revocable) == 117);
-    // The first demand is that of a calm moment; nothing is given back for it.
+    // The first observed demand is a low one; no servers are released because of it.
     platform.run(plan, 10'000, 39'500, 15.0);
     CHECK(total(platform.running, ServerKind::Revocable) == 117);
     platform.run(plan, 39'500, 42'000, 15.0);
@@ -146,9 +146,9 @@
     CHECK(total(platform.running, ServerKind::Revocable) + 3 == 30);
 }
 
-// The load: all cheap servers of one failure domain are taken away, and none is to be had there for ten seconds, while
-// the demand needs more than the other domains hold.
-TEST_CASE("while a failure domain has no cheap servers dear ones make up what the demand lacks, and go afterwards")
+// All revocable servers of one failure domain are revoked and none is available there for ten seconds, while the demand
+// needs more servers than the other domains have.
+TEST_CASE("permanent servers cover demand while a failure domain has no revocable ones, then they are released")
 {
     FleetPlan plan(FollowDemand { 1.5, std::chrono::seconds(30) });
     auto platform = with_permanent(20);
@@ -167,7 +167,7 @@
     CHECK(platform.running.at("a").revocable >= 36);
 }
 
-TEST_CASE("an order whose servers did not come is given again, ever less often")
+TEST_CASE("an order whose servers did not start is repeated at growing intervals")
 {
     FleetPlan plan(MaximumFleet {});
     Fleet const running { { "a", { 1, 0 } }, { "b", { 1, 0 } }, { "c", { 1, 0 } } };
@@ -182,7 +182,7 @@
     CHECK(orders <= 6 + 3 * 9);
 }
 
-TEST_CASE("a leader that takes over gives all its orders once")
+TEST_CASE("a new leader sends each of its orders once")
 {
     FleetPlan plan(MaximumFleet {});
     Fleet const running { { "a", { 1, 39 } }, { "b", { 1, 39 } }, { "c", { 1, 39 } } };
--- a/Tests/LibLeader/TestLeaderElection.cpp
+++ b/Tests/LibLeader/TestLeaderElection.cpp
@@ -27,7 +27,7 @@
 
 }
 
-TEST_CASE("a box claims after a whole lease of silence, and the first of the order before the next")
+TEST_CASE("a box claims after a whole lease without announcements, the first of the order before the next")
 {
     auto const election = started_at(1000);
     CHECK_FALSE(election.may_claim(0, at(3999)));
@@ -36,7 +36,7 @@
     CHECK(election.may_claim(1, at(4300)));
 }
 
-TEST_CASE("where all boxes start for the first time nobody waits for a leader")
+TEST_CASE("boxes that all start for the first time do not wait for a leader")
 {
     LeaderElection election(lease);
     election.started(at(1000), true);
@@ -45,7 +45,7 @@
     CHECK_FALSE(election.may_claim(3, at(3100)));
 }
 
-TEST_CASE("word of a leader takes the claim back")
+TEST_CASE("an announcement of a leader restarts the lease")
 {
     auto election = started_at(0);
     REQUIRE(election.receive(leader(5), at(2900)));
@@ -53,7 +53,7 @@
     CHECK(election.may_claim(0, at(5900)));
 }
 
-TEST_CASE("word of an earlier leader counts for nothing")
+TEST_CASE("an announcement of an earlier leader is ignored")
 {
     auto election = started_at(0);
     REQUIRE(election.receive(leader(5), at(1000)));
@@ -62,7 +62,7 @@
     CHECK(election.leader()->token == 5);
 }
 
-TEST_CASE("a leader that steps down is followed at once, box after box")
+TEST_CASE("boxes claim at once after a leader resigned, one after the other")
 {
     auto election = started_at(0);
     REQUIRE(election.receive(leader(5, true), at(1000)));
@@ -71,7 +71,8 @@
     CHECK(election.may_claim(2, at(1600)));
 }
 
-TEST_CASE("a box that led stands back, so that no other one's time lies between two of its own within a lease")
+TEST_CASE(
+    "a former leader waits for two leases, so that the shared time does not alternate between leaders within a lease")
 {
     auto election = started_at(0);
     election.claim_succeeded(leader(5), at(4000));
@@ -80,7 +81,7 @@
     CHECK(election.may_claim(0, at(11'000)));
 }
 
-TEST_CASE("claims that fail are tried ever less often")
+TEST_CASE("failed claims are retried at growing intervals")
 {
     auto election = started_at(0);
     election.claim_failed(at(4000));
@@ -91,7 +92,7 @@
     CHECK(election.may_claim(0, at(7000)));
 }
 
-TEST_CASE("a box that was suspended listens for a lease before it claims")
+TEST_CASE("a box that was suspended waits for a lease before it claims")
 {
     auto election = started_at(0);
     election.after_suspension(at(9000));
--- a/Tests/LibLeader/TestLeaderLog.cpp
+++ b/Tests/LibLeader/TestLeaderLog.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The leader's topic in the store: appends under a condition, some carried out late, and returns from a copy.
+/// The leader's topic in the store: conditional appends, some executed late, and restores from a copy.
 class Store {
 public:
     struct Append {
@@ -17,7 +17,7 @@
         std::uint64_t expected_end { 0 };
     };
 
-    /// Nothing where the log ends elsewhere.
+    /// Nothing if the log ends elsewhere.
     std::optional<std::uint64_t> append(Append const& append)
     {
         if (append.expected_end != this->records.size())
@@ -60,7 +60,7 @@
     return { "box-" + std::to_string(process), process, log.era(), log.first_window(window) };
 }
 
-/// Claims for the process, as of what it reads now, while the window is in progress.
+/// Reads the log and appends a claim of this process, while this window is in progress.
 std::optional<LeaderLog> append_claim(Store& store, std::uint64_t process, std::uint64_t window = 0)
 {
     auto log = store.read();
@@ -74,7 +74,7 @@
 
 }
 
-TEST_CASE("the last claim leads, and its token is higher than all before")
+TEST_CASE("the last claim determines the leader, and its token is higher than all earlier ones")
 {
     Store store;
     auto const first = append_claim(store, 1);
@@ -86,7 +86,7 @@
     CHECK(second->token()->value() > first->token()->value());
 }
 
-TEST_CASE("a token rises across a return from a copy, although offsets are given out again")
+TEST_CASE("a token rises across a restore from a copy, although offsets are assigned again")
 {
     Store store;
     REQUIRE(append_claim(store, 1));
@@ -96,7 +96,7 @@
     CHECK(append_claim(store, 1)->token()->value() > before);
 }
 
-TEST_CASE("a box that another one followed writes nothing more")
+TEST_CASE("a leader that was replaced can append nothing")
 {
     Store store;
     auto const first = append_claim(store, 1);
@@ -104,7 +104,7 @@
     CHECK_FALSE(store.append({ first->report_records(7, { { "a", 3 } }), first->end() }));
 }
 
-TEST_CASE("a new leader leaves out what is reported, and what may be and was lost")
+TEST_CASE("a new leader skips windows with a report, and windows whose report may have been lost")
 {
     Store store;
     auto log = append_claim(store, 1);
@@ -116,11 +116,11 @@
     CHECK(store.read().first_window(12) == 12);
 }
 
-// What is at stake: two reports of one window that differ. Order of events: a leader reports a window; the store comes
-// back from a copy without its claim and its report; another box takes the lead and leaves the window out, and ends; a
-// third one follows it. Cause: a log without any claim was taken for that of a deployment that starts, and what one
-// leader left out was not known to the next. Evidence: the model's trail, before this.
-TEST_CASE("what one leader left out stays left out, also where the store lost every claim")
+// Guards against two different reports of one window: a leader reports a window, the store is restored from a copy
+// without the leader's claim and report, the next leader skips the window and stops, and a third one takes over. A log
+// without any claim must not be treated as that of a new deployment, and a skipped window must remain skipped for later
+// leaders.
+TEST_CASE("a skipped window remains skipped by later leaders, even if the store lost every claim")
 {
     Store store;
     REQUIRE(append_claim(store, 1, 7));
@@ -132,11 +132,11 @@
     CHECK(store.read().first_window(9) == 8);
 }
 
-// What is at stake: the platform gets the report of one window twice, with other counts. Order of events: a leader's
-// append gets no answer; it, or its successor, writes the window's report with other counts and sends it; the store
-// comes back from a copy without that record, and the first append is carried out now, where the log ends as it
-// expected. Cause: the late record was taken for the report. Evidence: a random history of the last case, before this.
-TEST_CASE("a report of before the copy only says that its window is to be left out")
+// Guards against two different reports of one window: a leader's append gets no response, so the leader or its
+// successor writes and sends another report of the window; the store is restored from a copy without that record, and
+// the first append is executed now, because the log ends where it expects. The late record must not count as the
+// report.
+TEST_CASE("a report from before a restore only causes its window to be skipped")
 {
     Store store;
     auto log = append_claim(store, 1);
@@ -147,7 +147,7 @@
     log->append_succeeded(sent, expected_end);
     store.restore_without_last(1);
     REQUIRE(store.append({ late, expected_end }));
-    SUBCASE("a successor that knows nothing of it")
+    SUBCASE("a successor that has not read the report")
     {
         auto const next = append_claim(store, 2);
         CHECK(next->reports().empty());
@@ -162,7 +162,7 @@
     }
 }
 
-TEST_CASE("old reports are dropped from the log as new ones are written")
+TEST_CASE("old reports are deleted from the log as new ones are written")
 {
     Store store;
     auto log = *append_claim(store, 1);
@@ -178,13 +178,13 @@
 
 namespace {
 
-/// A box as its shell drives the log: reads, claims, writes reports and sends what it holds to be written.
+/// A box that drives the log: it reads, claims, writes reports and sends those that are written.
 struct Box {
     std::uint64_t process { 0 };
     LeaderLog log;
     bool leads { false };
     std::uint64_t next { 0 };
-    /// Appends that got no answer: they may be carried out later.
+    /// Appends without a response: they may be executed later.
     std::vector<Store::Append> pending;
 };
 
@@ -222,7 +222,7 @@
         box.leads = true;
     }
 
-    /// Nothing where the condition failed, or the answer was lost.
+    /// Nothing if the condition failed or the response was lost.
     std::optional<std::uint64_t> try_append(Box& box, Store::Append const& append)
     {
         if (this->happens(0.15)) {
@@ -230,7 +230,7 @@
             return {};
         }
         auto const offset = this->store.append(append);
-        // An answer of another history than the one that the box knows says nothing.
+        // A response of another era than the one that the box has read proves nothing.
         if (this->store.era != box.log.era() || this->happens(0.1))
             return {};
         return offset;
@@ -253,7 +253,7 @@
         ++box.next;
     }
 
-    /// What the platform gets: every report of the log, as the box knows it.
+    /// Sends every report of the log, as far as the box has read it, to the platform.
     void send(Box const& box)
     {
         if (!box.leads)
@@ -305,10 +305,10 @@
 
 }
 
-// What is at stake: a platform that gets two reports of one window with other counts bills wrongly. Boxes that stand
-// still, die, and come back, answers that are lost, appends that are carried out late, and a store that forgets what it
-// had acknowledged.
-TEST_CASE("whatever happens, no window is reported twice with other counts")
+// Guards against billing errors: the platform must never get two different reports of one window, even if boxes are
+// suspended, crash and restart, responses are lost, appends are executed late, and the store loses acknowledged
+// records.
+TEST_CASE("no window ever gets two different reports, whatever fails")
 {
     std::size_t reported = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -317,6 +317,6 @@
             world.step();
         reported += world.sent.size();
     }
-    // Most windows are reported, so the check above looks at something.
+    // Most windows are reported, so the check above is not vacuous.
     CHECK(reported > 300 * 20);
 }
--- a/Tests/LibLeader/TestLeaderMessages.cpp
+++ b/Tests/LibLeader/TestLeaderMessages.cpp
@@ -4,7 +4,7 @@
 
 using namespace Leader;
 
-TEST_CASE("what boxes tell each other comes back as it was")
+TEST_CASE("messages between boxes are decoded as they were encoded")
 {
     Announcement const announcement { 77, "box", 12, 1'790'000'000'000'000, 5, true, { "10.0.0.1", 7000 } };
     UsageMessage const usage { 9, { { 12, { { "a", 3 }, { "b", 4 } } }, { 13, {} } }, 42 };
@@ -22,7 +22,7 @@
     CHECK_FALSE(decode_leader_message(encode(UsageMessage { 0, {}, 0 })));
 }
 
-TEST_CASE("a report of more accounts than there can be is none")
+TEST_CASE("a report with too many accounts is rejected")
 {
     AccountCounts counts;
     for (int account = 0; account < 5000; ++account)
--- a/Tests/LibLeader/TestUsage.cpp
+++ b/Tests/LibLeader/TestUsage.cpp
@@ -27,7 +27,7 @@
     CHECK(window_at(5 * second, Duration { 0 }) == 0);
 }
 
-TEST_CASE("sums that are told twice, late or out of order count once")
+TEST_CASE("repeated, late or reordered counts are added once")
 {
     UsageLedger ledger;
     ledger.merge(1, { { 7, { { "a", 4 }, { "b", 1 } } } });
@@ -40,7 +40,7 @@
     CHECK(ledger.processes(7) == 2);
 }
 
-TEST_CASE("a box that starts again counts as another process beside its earlier life")
+TEST_CASE("a restarted box counts as another process beside its previous one")
 {
     UsageLedger ledger;
     ledger.merge(1, { { 7, { { "a", 4 } } } });
@@ -48,7 +48,7 @@
     CHECK(ledger.total(7).at("a") == 6);
 }
 
-TEST_CASE("a box keeps the counts of the last windows, so that a new leader can be told")
+TEST_CASE("a box keeps the counts of the last windows for a new leader")
 {
     UsageCounts counts;
     for (std::uint64_t window = 1; window <= 20; ++window)
@@ -57,7 +57,7 @@
     CHECK(counts.windows().begin()->first == 13);
 }
 
-TEST_CASE("a clock that steps moves no box's windows while most clocks are right")
+TEST_CASE("a clock that steps does not move windows while most clocks are right")
 {
     SharedClock clock;
     clock.start(some_day, at(0));
@@ -71,7 +71,7 @@
     CHECK(clock.clocks() == 7);
 }
 
-TEST_CASE("few clocks have no median worth following")
+TEST_CASE("few clocks have no reliable median")
 {
     SharedClock clock;
     clock.start(some_day, at(0));
@@ -84,7 +84,7 @@
     CHECK(clock.unix_microseconds(at(500)) == some_day + 9 * second + second / 2);
 }
 
-TEST_CASE("clocks of boxes that have gone silent are forgotten")
+TEST_CASE("clocks of boxes without recent samples are ignored")
 {
     SharedClock clock;
     clock.start(some_day, at(0));
--- a/Tests/LibMembership/ControlWorld.h
+++ b/Tests/LibMembership/ControlWorld.h
@@ -13,8 +13,8 @@
 using Membership::Duration;
 using Membership::Instant;
 
-/// Boxes that learn what the store says as ControlSource decides, in virtual time: who asks whom, who reads the store,
-/// and how old what each knows is. Answers between boxes take no time; a box that is down gives none.
+/// Boxes driven by ControlSource in virtual time: which box uses which relay, which boxes read the store, and the age
+/// of each box's data. Responses between boxes take no time; a box that is down sends none.
 class ControlWorld {
 public:
     static constexpr auto bound = std::chrono::seconds(4);
@@ -34,7 +34,7 @@
             this->start(record);
     }
 
-    /// Plays on for so long.
+    /// Runs the boxes for this long.
     void run(Duration duration)
     {
         constexpr auto step = std::chrono::milliseconds(10);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Kills all boxes and starts them anew within 0.3 s. The store still lists all of them.
+    /// Kills all boxes and restarts them within 0.3 s. The store still lists all of them.
     void restart_all()
     {
         for (auto const& record : this->records)
@@ -64,7 +64,7 @@
             names.push_back(record.name);
         return names;
     }
-    /// The oldest knowledge of any box that is up.
+    /// Age of the oldest data of any running box.
     [[nodiscard]] Duration oldest_age() const
     {
         Duration oldest_age { 0 };
@@ -75,7 +75,7 @@
         }
         return oldest_age;
     }
-    /// How old the knowledge of each box is that is up and knows something, by name.
+    /// Age of the data of each running box, by name; the time since its start for a box without data.
     [[nodiscard]] std::map<std::string, Duration> ages() const
     {
         std::map<std::string, Duration> ages;
@@ -85,7 +85,7 @@
         }
         return ages;
     }
-    /// How many boxes that are up know nothing that is as recent as this.
+    /// Number of running boxes without data at least this recent.
     [[nodiscard]] std::size_t stale_boxes(Duration recent) const
     {
         return static_cast<std::size_t>(std::ranges::count_if(this->boxes, [&](auto const& entry) {
@@ -104,9 +104,9 @@
     }
 
     Instant now { std::chrono::seconds(1000) };
-    /// Calls that reached the store or were lost on the way: each read asks for two topics.
+    /// Calls that reached the store or were lost on the way: each read calls it for two topics.
     std::size_t calls { 0 };
-    /// Whether the store answers a box.
+    /// Whether the store responds to a box.
     std::function<bool(std::string const&)> store_answers = [](std::string const&) { return true; };
     std::function<bool(std::string const&)> is_down = [](std::string const&) { return false; };
 
--- a/Tests/LibMembership/TestCompressedText.cpp
+++ b/Tests/LibMembership/TestCompressedText.cpp
@@ -11,23 +11,23 @@
 CompressedText compressed(std::string_view text)
 {
     Core::LastReason reason;
-    auto made = CompressedText::of(text, reason);
-    REQUIRE_MESSAGE(made, reason.text);
-    return *made;
+    auto result = CompressedText::of(text, reason);
+    REQUIRE_MESSAGE(result, reason.text);
+    return *result;
 }
 
-/// What comes out of these bytes at a box that is told this size; nothing, with a reason, if they are refused.
+/// The text that a box decodes from these bytes and this announced size; nothing, with a reason, if it rejects them.
 std::optional<std::string> received(std::string bytes, std::uint64_t text_size)
 {
     Core::LastReason reason;
     std::optional<std::string> text;
-    if (auto const taken = CompressedText::from_bytes(std::move(bytes), text_size, reason))
-        text = taken->text(reason);
+    if (auto const decoded = CompressedText::from_bytes(std::move(bytes), text_size, reason))
+        text = decoded->text(reason);
     CHECK(text.has_value() == reason.text.empty());
     return text;
 }
 
-/// Words of a small alphabet with repeats of what went before, or any bytes: both easy and hard to compress.
+/// Letters of a small alphabet with repetitions of earlier parts, or any bytes: both easy and hard to compress.
 std::string random_text(pcg32& random)
 {
     std::string text;
@@ -46,21 +46,21 @@
 
 }
 
-TEST_CASE("a text comes back from its compressed form, and one of many alike parts takes far less")
+TEST_CASE("a text is restored from its compressed form, and repetitive text becomes far smaller")
 {
     std::string text;
     for (int number = 0; number < 3000; ++number)
         text += R"({"name":"r)" + std::to_string(number) + R"(","host":"a.example","kind":"idempotent"},)";
-    auto const made = compressed(text);
-    CHECK(made.text_size() == text.size());
-    CHECK(made.bytes().size() < text.size() / 7);
-    CHECK(received(made.bytes(), text.size()) == text);
+    auto const result = compressed(text);
+    CHECK(result.text_size() == text.size());
+    CHECK(result.bytes().size() < text.size() / 7);
+    CHECK(received(result.bytes(), text.size()) == text);
     CHECK(compressed("") == compressed(""));
     CHECK(received(compressed("").bytes(), 0) == "");
     CHECK(compressed("a") != compressed("b"));
 }
 
-TEST_CASE("any text comes back whole, and no part of its compressed form does")
+TEST_CASE("any text is restored completely, and truncated or extended bytes are rejected")
 {
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
         CAPTURE(seed);
@@ -77,7 +77,7 @@
     }
 }
 
-TEST_CASE("a text comes back whole also where its compressed form just fills what is made at a time")
+TEST_CASE("a text is restored when its compressed form exactly fills the output buffer")
 {
     pcg32 random(20261202);
     std::string text;
@@ -88,7 +88,7 @@
     }
 }
 
-TEST_CASE("broken bytes give no text, or one of the size that was said, and never more")
+TEST_CASE("corrupt bytes are rejected or decode to a text of the announced size, never to more")
 {
     int refused = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
@@ -98,20 +98,20 @@
         auto bytes = compressed(text).bytes();
         for (int broken = 0; broken < 3; ++broken)
             bytes[random(static_cast<std::uint32_t>(bytes.size()))] ^= static_cast<char>(1U << random(8));
-        auto const taken = received(bytes, text.size());
-        if (taken)
-            REQUIRE(taken->size() == text.size());
+        auto const decoded = received(bytes, text.size());
+        if (decoded)
+            REQUIRE(decoded->size() == text.size());
         else
             ++refused;
         auto const noise = std::string(bytes.rbegin(), bytes.rend());
         if (auto const from_noise = received(noise, text.size()))
             REQUIRE(from_noise->size() == text.size());
     }
-    // Raw deflate holds no check of its own: a byte that is carried as it is may change unseen.
+    // Raw deflate has no checksum: a changed byte of a literal may go undetected.
     CHECK(refused > 200);
 }
 
-TEST_CASE("a few bytes make a box allocate no more than they may hold, and never more than the bound")
+TEST_CASE("a few bytes never cause a larger allocation than they can encode, or than the size limit")
 {
     auto const bomb = compressed(std::string(CompressedText::max_text_size, 'a'));
     CHECK(bomb.bytes().size() < 100'000);
--- a/Tests/LibMembership/TestControlSource.cpp
+++ b/Tests/LibMembership/TestControlSource.cpp
@@ -34,7 +34,7 @@
     return source;
 }
 
-/// The order of the six boxes, as each of them sees it.
+/// The order of the six boxes, as each of them computes it.
 std::vector<std::string> order()
 {
     BoxDirectory directory;
@@ -47,7 +47,7 @@
 
 }
 
-TEST_CASE("boxes with a wide link come first, and those of other failure domains not at all")
+TEST_CASE("boxes with a wide link come first, and those of other failure domains are not listed")
 {
     auto boxes = six_boxes();
     boxes.push_back(box("elsewhere", wide, "b"));
@@ -60,7 +60,7 @@
     CHECK(ordered[2].link_bytes_per_second == narrow);
 }
 
-TEST_CASE("all boxes of a failure domain ask the same relay, and the relay asks nobody")
+TEST_CASE("all boxes of a failure domain use the same relay, and the relay uses none")
 {
     auto const first = order().front();
     auto const after_first_wait = at(301);
@@ -75,7 +75,7 @@
     }
 }
 
-TEST_CASE("a small failure domain has no relay, and neither has a box that knows no boxes")
+TEST_CASE("a small failure domain has no relay, and neither has a box without a list of boxes")
 {
     auto const small = source_of("b1", { box("b1"), box("b2"), box("b3") });
     CHECK(!small.relay(at(0)));
@@ -86,7 +86,7 @@
     CHECK(alone.reads_store(at(0)));
 }
 
-TEST_CASE("a box reads the store as soon as what its relay vouched for is too old")
+TEST_CASE("a box reads the store as soon as its relay's data is too old")
 {
     auto source = source_of(order().back());
     auto const relay = order().front();
@@ -97,7 +97,7 @@
     CHECK(!source.reads_store(at(2200)));
 }
 
-TEST_CASE("when a relay fails the next box is asked, the store as soon as knowledge is too old, the first again later")
+TEST_CASE("after a relay fails the next box is used, the store once data is too old, and the first relay again later")
 {
     auto source = source_of(order().back());
     source.relay_answered(order()[0], at(900), at(1000));
@@ -112,7 +112,7 @@
     CHECK(source.relay(at(4200))->name == order()[0]);
 }
 
-TEST_CASE("only a few boxes are asked, so that a store out of reach does not make every box a relay")
+TEST_CASE("only a few boxes are used as relays, so that not every box becomes one while the store is unreachable")
 {
     auto source = source_of(order().back());
     int asked = 0;
@@ -124,7 +124,7 @@
     CHECK(source.reads_store(at(0)));
 }
 
-TEST_CASE("a relay that answers with what is too old is left, though not at once")
+TEST_CASE("a relay with stale data is replaced, but not at once")
 {
     auto source = source_of(order().back());
     auto const relay = order().front();
@@ -137,7 +137,7 @@
     CHECK(source.relay(at(6200))->name != relay);
 }
 
-TEST_CASE("a box that is asked reads the store and asks nobody, until it is asked no more")
+TEST_CASE("a box that receives requests reads the store and uses no relay, until the requests end")
 {
     auto source = source_of(order()[1]);
     source.relay_answered(order()[0], at(900), at(1000));
@@ -147,14 +147,15 @@
     CHECK(source.relay(at(3200)));
 }
 
-TEST_CASE("a box that no other one asks or answers hears nobody, unless its failure domain is too small to tell")
+TEST_CASE(
+    "a box without requests or responses of other boxes has no recent contact, unless its failure domain is too small")
 {
     auto source = source_of("b1");
     CHECK_FALSE(source.has_recent_contact(at(0)));
     source.relay_answered("b2", at(1000), at(1000));
     CHECK(source.has_recent_contact(at(3000)));
     CHECK_FALSE(source.has_recent_contact(at(3001)));
-    // An answer that is too old to be used comes from a box that lives all the same.
+    // A response whose data is too old still proves that the other box is running.
     source.relay_answered("b2", at(1000), at(9000));
     CHECK(source.has_recent_contact(at(9500)));
     source.request_received("a", at(20'000));
@@ -162,7 +163,7 @@
     CHECK(source_of("b1", { box("b1"), box("b2") }).has_recent_contact(at(0)));
 }
 
-TEST_CASE("the record of a box that never answers is taken to be left over after minutes")
+TEST_CASE("the record of a box that does not respond for minutes is considered obsolete")
 {
     auto source = source_of(order().back());
     auto const relay = order().front();
@@ -174,7 +175,7 @@
     CHECK(source.unresponsive_boxes(at(301'000)).empty());
 }
 
-TEST_CASE("a box that reads the store itself looks soon for other boxes, one that has a relay seldom")
+TEST_CASE("a box that reads the store checks the list of boxes soon, one that has a relay rarely")
 {
     auto const reader = source_of(order().front());
     CHECK(reader.list_interval(0, at(0)) == std::chrono::seconds(2));
@@ -192,7 +193,7 @@
     CHECK(one_of_many.list_interval(0, at(0)) == std::chrono::seconds(600));
 }
 
-TEST_CASE("whatever happens, a box either reads the store or holds what a relay vouched for lately")
+TEST_CASE("in every sequence of events a box either reads the store or has data that a relay recently confirmed")
 {
     pcg32 random(20261202);
     auto source = source_of(order().back());
@@ -222,7 +223,7 @@
     CHECK(steps_with_relay > 1000);
 }
 
-TEST_CASE("boxes that wake together ask their relay first, and the store if it doesn't answer in time")
+TEST_CASE("boxes that resume together use their relay first, and the store if the relay does not respond in time")
 {
     auto source = source_of(order().back());
     auto const relay = order().front();
@@ -234,7 +235,7 @@
     REQUIRE(source.relay(woke_at));
     CHECK(source.relay(woke_at)->name == relay);
     CHECK(source.reads_store(woke_at + source.relay_timeout()));
-    SUBCASE("an answer spares the store")
+    SUBCASE("a response saves reads of the store")
     {
         source.relay_answered(relay, woke_at, woke_at);
         CHECK_FALSE(source.reads_store(woke_at + source.relay_timeout()));
--- a/Tests/LibMembership/TestCrashMessages.cpp
+++ b/Tests/LibMembership/TestCrashMessages.cpp
@@ -21,13 +21,13 @@
 
 }
 
-TEST_CASE("news of crashes is read as it was told")
+TEST_CASE("a crash message is decoded as it was encoded")
 {
     auto const message = some_message();
     CHECK(decode_crashes(encode(message)) == message);
 }
 
-TEST_CASE("a message of sixteen crashes fits into a packet")
+TEST_CASE("a message with the maximum number of crashes fits into a packet")
 {
     CrashMessage message;
     for (std::size_t count = 0; count < max_crash_entries_per_message; ++count)
@@ -37,14 +37,14 @@
     CHECK(decode_crashes(encode(message)) == message);
 }
 
-TEST_CASE("neither news of crashes nor a load report is taken for the other")
+TEST_CASE("crash messages and load reports are not parsed as each other")
 {
     CHECK_FALSE(decode_load(encode(some_message())));
     LoadMessage const report { 17, Core::Instant { seconds(1) }, { { { "i-1", seconds(1), 1 } }, {} } };
     CHECK_FALSE(decode_crashes(encode(report)));
 }
 
-TEST_CASE("what no box tells is not taken")
+TEST_CASE("invalid crash messages are rejected")
 {
     CHECK_FALSE(decode_crashes(""));
     CHECK_FALSE(decode_crashes("news"));
@@ -53,7 +53,7 @@
     {
         message.crashes[0].report.count = 0;
     }
-    SUBCASE("more crashes than are counted")
+    SUBCASE("a crash count above the limit")
     {
         message.crashes[0].report.count = 4;
     }
@@ -61,11 +61,11 @@
     {
         message.crashes[0].report.endpoint.incarnation.clear();
     }
-    SUBCASE("a long endpoint")
+    SUBCASE("an endpoint id that is too long")
     {
         message.answering[0].incarnation = std::string(65, 'i');
     }
-    SUBCASE("too many")
+    SUBCASE("too many entries")
     {
         message.cleared.resize(max_crash_entries_per_message + 1);
     }
@@ -73,21 +73,21 @@
     {
         message.probed.resize(max_crash_entries_per_message + 1);
     }
-    SUBCASE("too many probes that are over")
+    SUBCASE("too many ended probes")
     {
         message.probes_ended.resize(max_crash_entries_per_message + 1);
     }
     CHECK_FALSE(decode_crashes(encode(message)));
 }
 
-TEST_CASE("an age longer than crashes are remembered is cut off there")
+TEST_CASE("an age longer than crashes are kept is limited")
 {
     auto message = some_message();
     message.crashes[0].age = std::chrono::hours(24 * 365 * 1000);
     CHECK(decode_crashes(encode(message))->crashes[0].age == Routing::CrashLedger::memory);
 }
 
-TEST_CASE("a refused request's record tells its age by the wall clock, and is taken for no box")
+TEST_CASE("the record of a refused request has its age by the wall clock, and is not parsed as a box")
 {
     TimedCrash const crash { { request, endpoint, 3 }, seconds(5) };
     auto const record = encode_crash_record(crash, wall_now);
@@ -101,7 +101,7 @@
     CHECK_FALSE(is_crash_key("front-1"));
 }
 
-TEST_CASE("bytes that are broken at random are read or not, and never as what no box tells")
+TEST_CASE("randomly corrupted bytes are rejected or decode to valid values")
 {
     pcg32 random(271);
     auto const sound = encode(some_message());
--- a/Tests/LibMembership/TestEndpointJournal.cpp
+++ b/Tests/LibMembership/TestEndpointJournal.cpp
@@ -24,7 +24,7 @@
     return *made;
 }
 
-/// A box that keeps its list by asking a journal.
+/// A box that keeps its list up to date by polling a journal.
 struct Follower {
     void poll(EndpointJournal const& journal)
     {
@@ -46,7 +46,7 @@
 
 }
 
-TEST_CASE("a heartbeat that changes nothing is no change")
+TEST_CASE("a heartbeat without other changes is no change")
 {
     EndpointJournal journal;
     journal.put(endpoint("a"));
@@ -59,7 +59,7 @@
     CHECK(changes.changes[0].record->draining);
 }
 
-TEST_CASE("a follower of changes has the same list, however often and late it asks")
+TEST_CASE("a follower of changes has the same list, however often and late it polls")
 {
     pcg32 random(7);
     EndpointJournal journal;
@@ -85,7 +85,7 @@
             truth.insert_or_assign(name, endpoint(name, is_draining));
             break;
         }
-        // NOTE: The last follower asks so seldom that the journal has forgotten removals by then.
+        // NOTE: The last follower polls so rarely that the journal has discarded removals meanwhile.
         if (random(3) == 0)
             followers[0].poll(journal);
         if (random(40) == 0)
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("a revision that the journal never had brings the whole list")
+TEST_CASE("a revision that the journal never had returns the whole list")
 {
     EndpointJournal journal;
     journal.put(endpoint("a"));
@@ -108,7 +108,7 @@
     CHECK(!journal.changes_since(journal.revision()).is_whole);
 }
 
-TEST_CASE("what boxes say to each other comes back as it was")
+TEST_CASE("messages between boxes are decoded as they were encoded")
 {
     ControlRequest const request { 77, 5, 9, "b1", { { "pool", { 12.5, 3 } } }, "a" };
     CHECK(decode_request(encode(request)) == request);
@@ -131,7 +131,7 @@
     CHECK(decode_box("b1", encode(record)) == record);
 }
 
-TEST_CASE("answers that hold one configuration share its bytes")
+TEST_CASE("answers with the same configuration share its bytes")
 {
     ControlAnswer first;
     first.source = 1;
@@ -143,7 +143,7 @@
     CHECK(encode(first).own.size() < 100);
 }
 
-TEST_CASE("a configuration from a box that doesn't compress it is taken as it is")
+TEST_CASE("a configuration from a box that does not compress it is accepted")
 {
     cleatbeam::membership::ControlAnswer message;
     message.set_source(1);
@@ -154,7 +154,7 @@
     CHECK(decoded->configuration == ConfigurationRecord { std::string("{}") });
 }
 
-TEST_CASE("a box that knows no compressed configuration sees a newer version without its record")
+TEST_CASE("a box that does not know compressed configurations sees a newer version without a record")
 {
     ControlAnswer answer;
     answer.source = 1;
@@ -164,12 +164,12 @@
     cleatbeam::membership::ControlAnswer message;
     REQUIRE(message.ParseFromString(bytes));
     CHECK(message.configuration_version() == 31);
-    // Such a box looks for the record in this field only; the others are new to it, and it passes over them.
+    // Such a box looks for the record in this field only and ignores the fields that it does not know.
     CHECK(!message.has_configuration());
     CHECK(message.has_compressed_configuration());
 }
 
-TEST_CASE("an answer is not taken whose compressed configuration is said to be longer than it can be")
+TEST_CASE("an answer whose compressed configuration has an impossible size is rejected")
 {
     cleatbeam::membership::ControlAnswer message;
     message.set_source(1);
@@ -188,7 +188,7 @@
     CHECK(!decode_answer(whole.substr(0, whole.size() - 1)));
 }
 
-TEST_CASE("bytes that are no message, and messages that say too little, are not taken")
+TEST_CASE("bytes that are no message, and incomplete messages, are rejected")
 {
     CHECK(!decode_answer("no message"));
     CHECK(!decode_answer(encode(ControlAnswer {}).whole()));
@@ -200,7 +200,7 @@
     CHECK(!decode_answer(encode(broken).whole()));
 }
 
-TEST_CASE("numbers that can't be are not taken for work or shares")
+TEST_CASE("invalid values of work and shares are replaced")
 {
     ControlRequest request { 1, 1, 1, "b1", { { "pool", { -5, std::numeric_limits<double>::infinity() } } }, "a" };
     auto const decoded = decode_request(encode(request));
@@ -212,7 +212,7 @@
     CHECK(decode_answer(encode(answer).whole())->answer_shares.at("pool") == 1.0);
 }
 
-TEST_CASE("demand is added up over the boxes heard of lately, each by its latest word")
+TEST_CASE("demand is added up over boxes with recent requests, each with its latest demand")
 {
     DemandPool pool;
     auto const moment = [](int milliseconds) { return Instant { std::chrono::milliseconds(milliseconds) }; };
@@ -225,7 +225,7 @@
     CHECK(!later.contains("other"));
 }
 
-TEST_CASE("an age that can't be is taken for a great one")
+TEST_CASE("an invalid age becomes a large one")
 {
     ControlAnswer answer;
     answer.source = 1;
@@ -235,7 +235,7 @@
     CHECK(decoded->endpoints_age >= std::chrono::hours(1));
 }
 
-TEST_CASE("a question with endless names or services is not taken")
+TEST_CASE("a request with overlong names or too many services is rejected")
 {
     ControlRequest const usual { 1, 1, 1, std::string(256, 'b'), {}, "a" };
     CHECK(decode_request(encode(usual)) == usual);
--- a/Tests/LibMembership/TestEndpointNewsMessage.cpp
+++ b/Tests/LibMembership/TestEndpointNewsMessage.cpp
@@ -21,23 +21,23 @@
 
 }
 
-TEST_CASE("news of endpoints is read as it was told")
+TEST_CASE("an endpoint notice message is decoded as it was encoded")
 {
     CHECK(decode_endpoint_notices(encode(some_message(), now), now) == some_message());
-    EndpointNoticeMessage const question { {}, true };
-    CHECK(decode_endpoint_notices(encode(question, now), now) == question);
+    EndpointNoticeMessage const request { {}, true };
+    CHECK(decode_endpoint_notices(encode(request, now), now) == request);
 }
 
-TEST_CASE("how long ago an endpoint said so is told, since clocks of boxes have nothing to do with each other")
+TEST_CASE("messages contain the age of a notice, since the clocks of boxes are not synchronized")
 {
     constexpr Core::Instant there { seconds(77) };
-    auto const heard = decode_endpoint_notices(encode(some_message(), now), there);
-    REQUIRE(heard);
-    CHECK(heard->notices[0].told_at == there - seconds(2));
-    CHECK(heard->notices[1].told_at == there);
+    auto const received = decode_endpoint_notices(encode(some_message(), now), there);
+    REQUIRE(received);
+    CHECK(received->notices[0].told_at == there - seconds(2));
+    CHECK(received->notices[1].told_at == there);
 }
 
-TEST_CASE("a message of as many notices as there may be fits into a packet")
+TEST_CASE("a message with the maximum number of notices fits into a packet")
 {
     EndpointNoticeMessage message;
     for (std::size_t count = 0; count < max_notices_per_message; ++count)
@@ -48,7 +48,7 @@
     CHECK(decode_endpoint_notices(encode(message, now), now) == message);
 }
 
-TEST_CASE("news of endpoints is not taken for another message, nor another one for it")
+TEST_CASE("endpoint notice messages and other messages are not parsed as each other")
 {
     auto const news = encode(some_message(), now);
     CHECK_FALSE(decode_load(news));
@@ -59,7 +59,7 @@
     CHECK_FALSE(decode_endpoint_notices(encode(crashes), now));
 }
 
-TEST_CASE("notices that no box tells are not taken")
+TEST_CASE("invalid notices are rejected")
 {
     CHECK_FALSE(decode_endpoint_notices("", now));
     CHECK_FALSE(decode_endpoint_notices("news", now));
@@ -72,19 +72,19 @@
     {
         message.notices[0].endpoint.incarnation.clear();
     }
-    SUBCASE("an endpoint with an endless name")
+    SUBCASE("an endpoint id that is too long")
     {
         message.notices[0].endpoint.incarnation.assign(65, 'i');
     }
-    SUBCASE("a limit below nothing")
+    SUBCASE("a negative limit")
     {
         message.notices[0].condition.limit.per_second = -1;
     }
-    SUBCASE("a limit that is no number")
+    SUBCASE("a limit that is not a number")
     {
         message.notices[0].condition.limit.per_second = std::numeric_limits<double>::quiet_NaN();
     }
-    SUBCASE("more notices than fit")
+    SUBCASE("too many notices")
     {
         message.notices.resize(max_notices_per_message + 1, message.notices[0]);
     }
--- a/Tests/LibMembership/TestLoadMessages.cpp
+++ b/Tests/LibMembership/TestLoadMessages.cpp
@@ -23,32 +23,32 @@
 
 }
 
-TEST_CASE("a load report arrives as it was told")
+TEST_CASE("a load report is decoded as it was encoded")
 {
-    auto const told = message_at(start);
-    CHECK(decode_load(encode(told)) == told);
+    auto const sent_message = message_at(start);
+    CHECK(decode_load(encode(sent_message)) == sent_message);
 }
 
-TEST_CASE("a report of more endpoints than fit keeps the busiest")
+TEST_CASE("a report with too many endpoints keeps the busiest")
 {
-    LoadMessage told { 7, start, {} };
+    LoadMessage sent_message { 7, start, {} };
     for (unsigned index = 0; index < 200; ++index)
-        told.report.endpoints.push_back({ "i-" + std::to_string(index), milliseconds(index), 1 });
-    auto const bytes = encode(told);
+        sent_message.report.endpoints.push_back({ "i-" + std::to_string(index), milliseconds(index), 1 });
+    auto const bytes = encode(sent_message);
     CHECK(bytes.size() < 1500);
-    auto const heard = decode_load(bytes);
-    REQUIRE(heard);
-    CHECK(heard->report.endpoints.front().incarnation == "i-199");
-    CHECK(heard->report.endpoints.size() < 200);
+    auto const received = decode_load(bytes);
+    REQUIRE(received);
+    CHECK(received->report.endpoints.front().incarnation == "i-199");
+    CHECK(received->report.endpoints.size() < 200);
 }
 
-TEST_CASE("bytes that are no report, or hold numbers that no box tells, are not taken")
+TEST_CASE("bytes that are no report, and invalid values, are rejected")
 {
     CHECK_FALSE(decode_load(""));
     CHECK_FALSE(decode_load("\xff\xff\xff"));
-    auto const whole = encode(message_at(start));
-    for (std::size_t length = 1; length < whole.size(); ++length)
-        static_cast<void>(decode_load(std::string_view(whole).substr(0, length)));
+    auto const encoded = encode(message_at(start));
+    for (std::size_t length = 1; length < encoded.size(); ++length)
+        static_cast<void>(decode_load(std::string_view(encoded).substr(0, length)));
     auto no_sender = message_at(start);
     no_sender.sender = 0;
     CHECK_FALSE(decode_load(encode(no_sender)));
@@ -60,13 +60,13 @@
     }
     pcg32 random(3);
     for (int round = 0; round < 2000; ++round) {
-        auto bytes = whole;
+        auto bytes = encoded;
         bytes[random(static_cast<std::uint32_t>(bytes.size()))] = static_cast<char>(random());
         static_cast<void>(decode_load(bytes));
     }
 }
 
-TEST_CASE("a report that a newer one overtook, or that comes twice, is not taken")
+TEST_CASE("a report that arrives twice, or after a newer one, is rejected")
 {
     MessageAgeTracker ages;
     CHECK(ages.age(message_at(start + milliseconds(100)), start + milliseconds(102)));
@@ -75,14 +75,13 @@
     CHECK(ages.age(message_at(start + milliseconds(200)), start + milliseconds(202)));
 }
 
-TEST_CASE(
-    "whatever delays and pauses there are, a report never looks fresher than it is but for the shortest way so far")
+TEST_CASE("a report appears newer than it is by no more than the shortest transit time so far, whatever its delay")
 {
     constexpr milliseconds fastest { 1 };
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         pcg32 random(seed);
         std::uniform_int_distribution<int> drawn(0, 1000);
-        // The clocks of two boxes have nothing to do with each other.
+        // The clocks of the two boxes are not synchronized.
         auto const offset = seconds(drawn(random));
         MessageAgeTracker ages;
         auto sent_at = start;
@@ -90,10 +89,10 @@
         Duration shortest_so_far = Duration::max();
         for (int message = 0; message < 50; ++message) {
             sent_at += milliseconds(50 + drawn(random) / 4);
-            auto const way = fastest + milliseconds(drawn(random) < 900 ? drawn(random) / 200 : drawn(random));
-            // A box that stood still reads what came meanwhile all at once.
+            auto const transit_time = fastest + milliseconds(drawn(random) < 900 ? drawn(random) / 200 : drawn(random));
+            // A box that was suspended reads all waiting messages at once.
             auto const pause = drawn(random) < 50 ? seconds(2) : seconds(0);
-            read_at = std::max(read_at, sent_at + way) + pause;
+            read_at = std::max(read_at, sent_at + transit_time) + pause;
             auto const age = ages.age(message_at(sent_at + offset), read_at);
             REQUIRE(age);
             auto const true_age = read_at - sent_at;
@@ -103,7 +102,7 @@
     }
 }
 
-TEST_CASE("what a box sends to all others stays bounded, and so does the age of its reports")
+TEST_CASE("the rate of reports to all others is limited, and so is the age of reports")
 {
     CHECK(plan_reports(1, 100) == ReportPlan { milliseconds(100), 1 });
     CHECK(plan_reports(8, 122) == ReportPlan { milliseconds(100), 8 });
@@ -121,12 +120,12 @@
     }
 }
 
-TEST_CASE("what a box knows from the store is read as it was told beside its load")
+TEST_CASE("the store versions are decoded as they were encoded")
 {
     LoadMessage message { 17, Instant { seconds(1) }, {}, { 5, 2, seconds(3), std::chrono::milliseconds(4500) } };
-    auto const heard = decode_load(encode(message));
-    REQUIRE(heard);
-    CHECK(heard->store_versions == message.store_versions);
+    auto const received = decode_load(encode(message));
+    REQUIRE(received);
+    CHECK(received->store_versions == message.store_versions);
     message.store_versions = { 5, 2, {}, {} };
     CHECK(decode_load(encode(message))->store_versions == message.store_versions);
 }
--- a/Tests/LibMembership/TestStoreCalls.cpp
+++ b/Tests/LibMembership/TestStoreCalls.cpp
@@ -9,11 +9,11 @@
 using std::chrono::seconds;
 using Test::ControlWorld;
 
-/// The deployment that these tests answer to: 295 boxes in five failure domains.
+/// Number of boxes in these tests: 295 in five failure domains.
 constexpr std::size_t domains = 5;
 constexpr std::size_t boxes_each = 59;
 
-/// The oldest knowledge of any box at any time while the world plays on.
+/// Age of the oldest data of any box at any time during this period.
 Membership::Duration oldest_age_during(ControlWorld& world, Membership::Duration duration)
 {
     Membership::Duration oldest_age { 0 };
@@ -26,9 +26,9 @@
 
 }
 
-// What operators saw: on a quiet day each of five failure domains had a reader of its own, and 295 boxes made 3,245
-// calls to the store in 62 s. Measured with one reader for all: 789.
-TEST_CASE("one box reads the store for hundreds, and what each knows stays well inside the bound")
+// Guards against a reader per failure domain: with five readers, 295 boxes made 3,245 calls to the store in 62 s; with
+// one reader for all domains, 789.
+TEST_CASE("one box reads the store for hundreds, and the data of each stays well within the deadline")
 {
     ControlWorld world(domains, boxes_each);
     world.run(seconds(5));
@@ -40,7 +40,7 @@
     CHECK(world.calls <= 52);
 }
 
-TEST_CASE("calls of a quiet second do not grow with the number of boxes")
+TEST_CASE("the number of calls of a quiet second does not grow with the number of boxes")
 {
     std::vector<std::size_t> calls;
     for (std::size_t const each : { 6UL, 20UL, 60UL }) {
@@ -50,14 +50,14 @@
         world.run(seconds(10));
         calls.push_back(world.calls);
     }
-    // A read more or less, by when the first one fell.
+    // One read more or less, depending on when the first one happened.
     CHECK(calls[1] <= calls[0] + 2);
     CHECK(calls[2] <= calls[0] + 2);
 }
 
-// What operators saw: when the box that read the store for its domain died, each of its 58 askers read the store,
+// Guards against many reads after the loss of a reader: each of the 58 boxes that used it as a relay read the store
 // twice.
-TEST_CASE("the loss of the reader, and of the next one, costs few calls and nobody's knowledge")
+TEST_CASE("the loss of the reader, and of its successor, causes few calls and no stale data")
 {
     ControlWorld world(domains, boxes_each);
     world.run(seconds(2));
@@ -73,10 +73,10 @@
     CHECK(world.calls < 150);
 }
 
-// What operators saw: on a day on which the store was silent for 8 s and all boxes were killed later, 295 boxes made
-// 9,194 calls, each trying on its own. Played here without the pauses that grow with the number of boxes: 3,290 calls
-// in the 8 s; with them 1,246; where boxes that others don't wait for try again for one topic alone, 958.
-TEST_CASE("a store that is away is not called by all boxes again and again, and its return is soon known everywhere")
+// Guards against retries by all boxes: while the store did not respond for 8 s and all boxes restarted later, 295 boxes
+// made 9,194 calls. In this simulation, pauses independent of the number of boxes lead to 3,290 calls in the 8 s,
+// pauses that grow with it to 1,246, and retries of a single topic by boxes that are no relays to 958.
+TEST_CASE("an unreachable store gets a limited number of calls, and all boxes have recent data soon after its return")
 {
     ControlWorld world(domains, boxes_each);
     world.run(seconds(2));
@@ -90,23 +90,23 @@
     CHECK(world.stale_boxes(milliseconds(ControlWorld::bound) * 11 / 20) == 0);
 }
 
-// What operators saw: the store turned some boxes away, the readers among them. A box that the store serves is found by
-// asking the first boxes of the domains in turn.
-TEST_CASE("boxes that the store turns away learn from boxes that it serves")
+// The store may reject some boxes, the readers among them. These find a box that the store serves by trying the first
+// boxes of the domains in turn.
+TEST_CASE("boxes that the store rejects get their data from boxes that it serves")
 {
     ControlWorld world(domains, boxes_each);
     world.run(seconds(2));
     auto const reader = world.reader();
-    SUBCASE("the reader alone is turned away")
+    SUBCASE("the store rejects the reader alone")
     {
         world.store_answers = [reader](std::string const& name) { return name != reader; };
     }
-    SUBCASE("the reader's whole failure domain is turned away")
+    SUBCASE("the store rejects the reader's whole failure domain")
     {
         auto const domain = reader.substr(0, reader.rfind('-'));
         world.store_answers = [domain](std::string const& name) { return !name.starts_with(domain + "-"); };
     }
-    SUBCASE("every second box is turned away")
+    SUBCASE("the store rejects every second box")
     {
         world.store_answers = [](std::string const& name) { return (name.back() - '0') % 2 == 0; };
     }
@@ -117,9 +117,9 @@
     CHECK(world.calls < 1600);
 }
 
-// What callers saw: after all of 87 boxes had lost power, a third refused everybody for 0.46 s, since each waited in
-// vain for a relay that had no power yet.
-TEST_CASE("when all boxes start together each knows what the store says within half a second, at one call for many")
+// Guards against a slow start after a power loss: a third of 87 boxes refused all clients for 0.46 s, each waiting for
+// a relay that had no power yet.
+TEST_CASE("boxes that all start together have data within half a second, with few calls to the store")
 {
     ControlWorld world(domains, boxes_each);
     world.run(seconds(3));
@@ -132,7 +132,7 @@
 
 namespace {
 
-/// A small world in which boxes die, freeze, come back and are turned away by the store, by lot.
+/// A small world in which boxes randomly crash, restart and are rejected by the store.
 class FaultyWorld {
 public:
     explicit FaultyWorld(std::uint64_t seed)
@@ -156,7 +156,7 @@
             this->world.restart_all();
     }
 
-    /// The oldest knowledge of any box that has been up and served by the store for a while, in the next 50 ms.
+    /// Age of the oldest data, in the next 50 ms, of any box that has been running and served by the store for a while.
     [[nodiscard]] Membership::Duration oldest_age_of_healthy_boxes()
     {
         this->world.run(milliseconds(50));
@@ -189,8 +189,8 @@
 
 }
 
-// A box that has a way to the store must know within the bound what it says, whatever happens to the boxes it asks.
-TEST_CASE("a box that the store serves is never behind, whoever else dies, starts or is turned away")
+// A box that the store serves must have recent data, whatever happens to its relays.
+TEST_CASE("a box that the store serves always has recent data, whatever other boxes crash, start or are rejected")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
--- a/Tests/LibMembership/TestStoreHistory.cpp
+++ b/Tests/LibMembership/TestStoreHistory.cpp
@@ -23,7 +23,7 @@
 
 }
 
-TEST_CASE("the first era heard is no return from a copy, a higher one is, and a lower one holds nothing")
+TEST_CASE("the first observed era is no restore, a higher one is, and a lower one is not valid")
 {
     StoreHistory history;
     CHECK(history.observe(3, {}, at(0)) == Relation::SameHistory);
@@ -35,7 +35,7 @@
     CHECK(history.era() == 4);
 }
 
-TEST_CASE("who doesn't tell an era says nothing of it")
+TEST_CASE("a response without an era changes nothing")
 {
     StoreHistory history;
     CHECK(history.observe(0, {}, at(0)) == Relation::SameHistory);
@@ -44,7 +44,7 @@
     CHECK(history.era() == 2);
 }
 
-TEST_CASE("a box that starts just after a return hears of it from others, and settles with them")
+TEST_CASE("a box that starts just after a restore learns of it from other boxes, and settles when they do")
 {
     StoreHistory history;
     CHECK(history.observe(4, {}, at(1000)) == Relation::SameHistory);
@@ -54,7 +54,7 @@
     CHECK_FALSE(history.is_settling(at(2501)));
 }
 
-TEST_CASE("two returns in a row: each begins anew")
+TEST_CASE("two restores in a row: each settles separately")
 {
     StoreHistory history;
     static_cast<void>(history.observe(1, {}, at(0)));
@@ -64,7 +64,7 @@
     CHECK_FALSE(history.is_settling(at(4501)));
 }
 
-TEST_CASE("endpoints that left are taken out of a list until they write again, each life by itself")
+TEST_CASE("departed endpoints are removed from a list until they write again, each instance separately")
 {
     DepartedEndpoints departed;
     departed.add({ "a", 1 }, at(0));
@@ -75,7 +75,7 @@
     CHECK(list == std::vector<Routing::EndpointRecord> { endpoint("a", 2), endpoint("b", 1), endpoint("c") });
 }
 
-TEST_CASE("who left long ago is forgotten, and so are the first of very many")
+TEST_CASE("endpoints that departed long ago are forgotten, and so are the oldest of very many")
 {
     DepartedEndpoints departed;
     departed.add({ "a", 1 }, at(0));
