--- a/Libraries/LibMembership/DepartedEndpoints.cpp
+++ b/Libraries/LibMembership/DepartedEndpoints.cpp
@@ -4,9 +4,9 @@
 
 namespace Membership {
 
-void DepartedEndpoints::add(Routing::EndpointLife const& life, Instant now)
+void DepartedEndpoints::add(Routing::EndpointLife const& instance, Instant now)
 {
-    this->departures.insert_or_assign(life, now);
+    this->departures.insert_or_assign(instance, now);
     if (this->departures.size() <= max_entries)
         return;
     std::erase_if(this->departures, [now](auto const& departure) { return now - departure.second > retention; });
--- a/Tests/LibMembership/ControlWorld.h
+++ b/Tests/LibMembership/ControlWorld.h
@@ -155,15 +155,16 @@
     {
         auto relay = box.source.relay(this->now);
         for (; relay; relay = box.source.relay(this->now)) {
-            auto& asked = this->boxes.at(relay->name);
-            if (!asked.is_up) {
+            auto& relay_box = this->boxes.at(relay->name);
+            if (!relay_box.is_up) {
                 box.source.relay_failed(relay->name, this->now);
                 continue;
             }
-            asked.source.request_received(box.record.failure_domain, this->now);
-            if (asked.confirmed_at) {
-                box.source.relay_answered(relay->name, *asked.confirmed_at, this->now);
-                box.confirmed_at = std::max(box.confirmed_at.value_or(*asked.confirmed_at), *asked.confirmed_at);
+            relay_box.source.request_received(box.record.failure_domain, this->now);
+            if (relay_box.confirmed_at) {
+                box.source.relay_answered(relay->name, *relay_box.confirmed_at, this->now);
+                box.confirmed_at
+                    = std::max(box.confirmed_at.value_or(*relay_box.confirmed_at), *relay_box.confirmed_at);
             } else if (!box.source.awaits_first_answer(this->now)) {
                 box.source.relay_failed(relay->name, this->now);
                 continue;
--- a/Tests/LibMembership/TestControlSource.cpp
+++ b/Tests/LibMembership/TestControlSource.cpp
@@ -115,12 +115,12 @@
 TEST_CASE("only a few boxes are used as relays, so that not every box becomes one while the store is unreachable")
 {
     auto source = source_of(order().back());
-    int asked = 0;
+    int relays_used = 0;
     for (auto relay = source.relay(at(0)); relay; relay = source.relay(at(0))) {
         source.relay_failed(relay->name, at(0));
-        ++asked;
+        ++relays_used;
     }
-    CHECK(asked == 3);
+    CHECK(relays_used == 3);
     CHECK(source.reads_store(at(0)));
 }
 
@@ -181,8 +181,8 @@
     CHECK(reader.list_interval(0, at(0)) == std::chrono::seconds(2));
     CHECK(reader.list_interval(1, at(0)) == std::chrono::seconds(4));
     CHECK(reader.list_interval(100, at(0)) == std::chrono::seconds(60));
-    auto const asker = source_of(order().back());
-    CHECK(asker.list_interval(0, at(0)) == std::chrono::seconds(60));
+    auto const requester = source_of(order().back());
+    CHECK(requester.list_interval(0, at(0)) == std::chrono::seconds(60));
     std::vector<BoxRecord> many;
     many.reserve(300);
     for (int number = 0; number < 300; ++number)
--- a/Tests/LibMembership/TestEndpointNewsMessage.cpp
+++ b/Tests/LibMembership/TestEndpointNewsMessage.cpp
@@ -50,9 +50,9 @@
 
 TEST_CASE("endpoint notice messages and other messages are not parsed as each other")
 {
-    auto const news = encode(some_message(), now);
-    CHECK_FALSE(decode_load(news));
-    CHECK_FALSE(decode_crashes(news));
+    auto const encoded = encode(some_message(), now);
+    CHECK_FALSE(decode_load(encoded));
+    CHECK_FALSE(decode_crashes(encoded));
     LoadMessage const report { 17, Core::Instant { seconds(1) }, { { { "i-1", seconds(1), 1 } }, {} } };
     CHECK_FALSE(decode_endpoint_notices(encode(report), now));
     CrashMessage const crashes { {}, { { 1, 2 } }, {}, {}, {} };
