--- a/Libraries/LibLeader/SharedClock.h
+++ b/Libraries/LibLeader/SharedClock.h
@@ -10,29 +10,29 @@
 using Core::Duration;
 using Core::Instant;
 
-/// The time of day that all boxes go by, although wall clocks of single boxes may step by seconds.
+/// The time of day that all boxes share, although the wall clock of a single box may step by seconds.
 ///
-/// It runs on the clock since the box booted, from an offset: at first that of the own wall clock. The leader takes the
-/// median of the offsets that boxes tell, and tells the time that follows to all.
+/// The shared time is the clock since the box booted plus an offset, which starts as that of the box's own wall clock.
+/// The leader computes the median of all boxes' offsets and sends the resulting time to all boxes.
 class SharedClock {
 public:
-    /// This box's own wall clock at a moment.
+    /// Starts with this box's own wall clock at this moment.
     void start(std::uint64_t wall_unix_microseconds, Instant now);
-    /// What another process's wall clock showed when it told so, a moment ago.
-    void hear(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now);
-    /// The leader sets its time anew from its own wall clock and those that it heard of.
-    void agree(std::uint64_t own_wall_unix_microseconds, Instant now);
-    /// The leader told the time, the median of so many clocks.
-    void follow(std::uint64_t unix_microseconds, unsigned clocks, Instant now);
+    /// Adds the wall clock time that another process has just sent.
+    void add_sample(std::uint64_t process, std::uint64_t wall_unix_microseconds, Instant now);
+    /// On the leader: sets the time to the median of its own wall clock and the recent samples.
+    void update_from_samples(std::uint64_t own_wall_unix_microseconds, Instant now);
+    /// On the other boxes: sets the time to that of the leader, the median of this many clocks.
+    void adopt(std::uint64_t unix_microseconds, unsigned clocks, Instant now);
 
     [[nodiscard]] std::uint64_t unix_microseconds(Instant now) const;
-    /// How far it is ahead of the clock since this box booted.
-    [[nodiscard]] Duration ahead() const { return Duration { this->offset }; }
-    /// Clocks that the time is the median of.
-    [[nodiscard]] unsigned clocks() const { return this->of_clocks; }
+    /// Offset to add to the clock since this box booted.
+    [[nodiscard]] Duration offset_from_steady_clock() const { return Duration { this->offset }; }
+    /// Number of clocks of which the time is the median.
+    [[nodiscard]] unsigned clocks() const { return this->clock_count; }
 
 private:
-    struct Told {
+    struct Sample {
         std::int64_t offset { 0 };
         Instant at;
     };
@@ -42,14 +42,14 @@
         return static_cast<std::int64_t>(unix_microseconds) - now.time_since_epoch().count();
     }
 
-    /// Fewer clocks have no median worth following: two of three may step together.
-    static constexpr unsigned fewest_clocks = 4;
-    /// What was told longer ago is of a box that may be gone.
-    static constexpr Duration memory { std::chrono::seconds(10) };
+    /// The median of fewer clocks is not reliable: two of three may step together.
+    static constexpr unsigned min_clocks = 4;
+    /// Older samples may be of a box that no longer runs.
+    static constexpr Duration sample_retention { std::chrono::seconds(10) };
 
     std::int64_t offset { 0 };
-    unsigned of_clocks { 1 };
-    std::map<std::uint64_t, Told> told;
+    unsigned clock_count { 1 };
+    std::map<std::uint64_t, Sample> samples;
 };
 
 }
--- a/Libraries/LibMembership/DemandPool.h
+++ b/Libraries/LibMembership/DemandPool.h
@@ -4,24 +4,24 @@
 
 namespace Membership {
 
-/// Adds up what the boxes that ask a relay have lately seen of their services' demand.
+/// Adds up the recent demand for each service at the boxes that use this one as a relay.
 class DemandPool {
 public:
-    /// What a box told in its latest question, in place of what it told before.
-    void take(std::string const& asker, std::map<std::string, Routing::WorkTotals> work, Instant now);
-    /// The sums over all boxes that were heard of a short while ago.
+    /// Replaces the demand that a box sent before by that of its latest request.
+    void update(std::string const& requester, std::map<std::string, Routing::WorkTotals> work, Instant now);
+    /// The sums over all boxes with a recent request.
     [[nodiscard]] std::map<std::string, Routing::WorkTotals> totals(Instant now) const;
 
 private:
-    struct Heard {
+    struct Demand {
         std::map<std::string, Routing::WorkTotals> work;
         Instant at;
     };
 
-    /// A box that was silent for longer asks another relay, reads the store itself or is gone.
-    static constexpr Duration memory { std::chrono::seconds(3) };
+    /// A box that sent nothing for longer uses another relay, reads the store itself or no longer runs.
+    static constexpr Duration retention { std::chrono::seconds(3) };
 
-    std::map<std::string, Heard> boxes;
+    std::map<std::string, Demand> boxes;
 };
 
 }
--- a/Tests/LibLeader/TestLeaderLog.cpp
+++ b/Tests/LibLeader/TestLeaderLog.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The leader's topic in the store: appends under a condition, some carried out late, and returns from a copy.
+/// The leader's topic in the store: conditional appends, some executed late, and restores from a copy.
 class Store {
 public:
     struct Append {
@@ -17,7 +17,7 @@
         std::uint64_t expected_end { 0 };
     };
 
-    /// Nothing where the log ends elsewhere.
+    /// Nothing if the log ends elsewhere.
     std::optional<std::uint64_t> append(Append const& append)
     {
         if (append.expected_end != this->records.size())
@@ -45,7 +45,7 @@
         return LeaderLog::from(list, this->records.size(), this->era);
     }
 
-    void lose_last(std::size_t count)
+    void restore_without_last(std::size_t count)
     {
         this->records.resize(this->records.size() - std::min(count, this->records.size()));
         ++this->era;
@@ -60,117 +60,117 @@
     return { "box-" + std::to_string(process), process, log.era(), log.first_window(window) };
 }
 
-/// Claims for the process, as of what it reads now, while the window is in progress.
-std::optional<LeaderLog> claimed(Store& store, std::uint64_t process, std::uint64_t window = 0)
+/// Reads the log and appends a claim of this process, while this window is in progress.
+std::optional<LeaderLog> append_claim(Store& store, std::uint64_t process, std::uint64_t window = 0)
 {
     auto log = store.read();
-    auto const records = log.records_of_claim(claim_of(process, log, window), {});
+    auto const records = log.claim_records(claim_of(process, log, window), {});
     auto const offset = store.append({ records, log.end() });
     if (!offset)
         return {};
-    log.appended(records, *offset);
+    log.append_succeeded(records, *offset);
     return log;
 }
 
 }
 
-TEST_CASE("the last claim leads, and its token is higher than all before")
+TEST_CASE("the last claim determines the leader, and its token is higher than all earlier ones")
 {
     Store store;
-    auto const first = claimed(store, 1);
+    auto const first = append_claim(store, 1);
     REQUIRE(first);
-    auto const second = claimed(store, 2);
+    auto const second = append_claim(store, 2);
     REQUIRE(second);
-    CHECK(second->standing(2) == LeaderLog::Standing::Leads);
-    CHECK(store.read().standing(1) == LeaderLog::Standing::OtherLeads);
+    CHECK(second->status(2) == LeaderLog::Status::Leads);
+    CHECK(store.read().status(1) == LeaderLog::Status::OtherLeads);
     CHECK(second->token()->value() > first->token()->value());
 }
 
-TEST_CASE("a token rises across a return from a copy, although offsets are given out again")
+TEST_CASE("a token rises across a restore from a copy, although offsets are assigned again")
 {
     Store store;
-    REQUIRE(claimed(store, 1));
-    auto const before = claimed(store, 2)->token()->value();
-    store.lose_last(2);
-    CHECK(store.read().standing(2) == LeaderLog::Standing::Vacant);
-    CHECK(claimed(store, 1)->token()->value() > before);
+    REQUIRE(append_claim(store, 1));
+    auto const before = append_claim(store, 2)->token()->value();
+    store.restore_without_last(2);
+    CHECK(store.read().status(2) == LeaderLog::Status::Vacant);
+    CHECK(append_claim(store, 1)->token()->value() > before);
 }
 
-TEST_CASE("a box that another one followed writes nothing more")
+TEST_CASE("a leader that was replaced can append nothing")
 {
     Store store;
-    auto const first = claimed(store, 1);
-    REQUIRE(claimed(store, 2));
-    CHECK_FALSE(store.append({ first->records_of_report(7, { { "a", 3 } }), first->end() }));
+    auto const first = append_claim(store, 1);
+    REQUIRE(append_claim(store, 2));
+    CHECK_FALSE(store.append({ first->report_records(7, { { "a", 3 } }), first->end() }));
 }
 
-TEST_CASE("a new leader leaves out what is reported, and what may be and was lost")
+TEST_CASE("a new leader skips windows with a report, and windows whose report may have been lost")
 {
     Store store;
-    auto log = claimed(store, 1);
-    auto const records = log->records_of_report(7, { { "a", 3 } });
+    auto log = append_claim(store, 1);
+    auto const records = log->report_records(7, { { "a", 3 } });
     REQUIRE(store.append({ records, log->end() }));
     CHECK(store.read().first_window(8) == 8);
     CHECK(store.read().first_window(12) == 10);
-    store.lose_last(1);
+    store.restore_without_last(1);
     CHECK(store.read().first_window(12) == 12);
 }
 
-// What is at stake: two reports of one window that differ. Order of events: a leader reports a window; the store comes
-// back from a copy without its claim and its report; another box takes the lead and leaves the window out, and ends; a
-// third one follows it. Cause: a log without any claim was taken for that of a deployment that starts, and what one
-// leader left out was not known to the next. Evidence: the model's trail, before this.
-TEST_CASE("what one leader left out stays left out, also where the store lost every claim")
+// Guards against two different reports of one window: a leader reports a window, the store is restored from a copy
+// without the leader's claim and report, the next leader skips the window and stops, and a third one takes over. A log
+// without any claim must not be treated as that of a new deployment, and a skipped window must remain skipped for later
+// leaders.
+TEST_CASE("a skipped window remains skipped by later leaders, even if the store lost every claim")
 {
     Store store;
-    REQUIRE(claimed(store, 1, 7));
-    store.lose_last(9);
+    REQUIRE(append_claim(store, 1, 7));
+    store.restore_without_last(9);
     CHECK(store.read().first_window(8) == 8);
-    REQUIRE(claimed(store, 2, 8));
+    REQUIRE(append_claim(store, 2, 8));
     CHECK(store.read().first_window(9) == 8);
-    REQUIRE(claimed(store, 3, 9));
+    REQUIRE(append_claim(store, 3, 9));
     CHECK(store.read().first_window(9) == 8);
 }
 
-// What is at stake: the platform gets the report of one window twice, with other counts. Order of events: a leader's
-// append gets no answer; it, or its successor, writes the window's report with other counts and sends it; the store
-// comes back from a copy without that record, and the first append is carried out now, where the log ends as it
-// expected. Cause: the late record was taken for the report. Evidence: a random history of the last case, before this.
-TEST_CASE("a report of before the copy only says that its window is to be left out")
+// Guards against two different reports of one window: a leader's append gets no response, so the leader or its
+// successor writes and sends another report of the window; the store is restored from a copy without that record, and
+// the first append is executed now, because the log ends where it expects. The late record must not count as the
+// report.
+TEST_CASE("a report from before a restore only causes its window to be skipped")
 {
     Store store;
-    auto log = claimed(store, 1);
-    auto const late = log->records_of_report(7, { { "a", 3 } });
+    auto log = append_claim(store, 1);
+    auto const late = log->report_records(7, { { "a", 3 } });
     auto const expected_end = log->end();
-    auto const sent = log->records_of_report(7, { { "a", 5 } });
+    auto const sent = log->report_records(7, { { "a", 5 } });
     REQUIRE(store.append({ sent, expected_end }));
-    log->appended(sent, expected_end);
-    store.lose_last(1);
+    log->append_succeeded(sent, expected_end);
+    store.restore_without_last(1);
     REQUIRE(store.append({ late, expected_end }));
-    SUBCASE("a successor that knows nothing of it")
+    SUBCASE("a successor that has not read the report")
     {
-        auto const next = claimed(store, 2);
+        auto const next = append_claim(store, 2);
         CHECK(next->reports().empty());
         CHECK(store.read().first_window(7) == 8);
     }
     SUBCASE("the leader that sent it")
     {
         auto next = store.read();
-        auto const records = next.records_of_claim(claim_of(1, next, 7), log->reports());
+        auto const records = next.claim_records(claim_of(1, next, 7), log->reports());
         REQUIRE(store.append({ records, next.end() }));
         CHECK(store.read().reports().at(7).at("a") == 5);
     }
 }
 
-TEST_CASE("old reports are dropped from the log as new ones are written")
+TEST_CASE("old reports are deleted from the log as new ones are written")
 {
     Store store;
-    auto log = *claimed(store, 1);
+    auto log = *append_claim(store, 1);
     for (std::uint64_t window = 100; window < 140; ++window) {
-        auto const records = log.records_of_report(window, { { "a", window } });
+        auto const records = log.report_records(window, { { "a", window } });
         auto const offset = store.append({ records, log.end() });
         REQUIRE(offset);
-        log.appended(records, *offset);
+        log.append_succeeded(records, *offset);
     }
     CHECK(store.read().reports().size() <= 14);
     CHECK(log.reports().size() <= 26);
@@ -178,13 +178,13 @@
 
 namespace {
 
-/// A box as its shell drives the log: reads, claims, writes reports and sends what it holds to be written.
+/// A box that drives the log: it reads, claims, writes reports and sends those that are written.
 struct Box {
     std::uint64_t process { 0 };
     LeaderLog log;
     bool leads { false };
     std::uint64_t next { 0 };
-    /// Appends that got no answer: they may be carried out later.
+    /// Appends without a response: they may be executed later.
     std::vector<Store::Append> pending;
 };
 
@@ -198,14 +198,14 @@
 
     bool happens(double chance) { return this->random() < chance * 4294967296.0; }
 
-    void look(Box& box)
+    void refresh(Box& box)
     {
         auto const known = box.log.reports();
         bool const led = box.leads;
         box.log = this->store.read();
-        auto const standing = box.log.standing(box.process);
-        box.leads = led && standing == LeaderLog::Standing::Leads;
-        if (led && standing == LeaderLog::Standing::Vacant)
+        auto const status = box.log.status(box.process);
+        box.leads = led && status == LeaderLog::Status::Leads;
+        if (led && status == LeaderLog::Status::Vacant)
             this->claim(box, known);
     }
 
@@ -213,16 +213,16 @@
     {
         box.log = this->store.read();
         box.next = box.log.first_window(this->window);
-        Store::Append const append { box.log.records_of_claim(claim_of(box.process, box.log, this->window), known),
+        Store::Append const append { box.log.claim_records(claim_of(box.process, box.log, this->window), known),
             box.log.end() };
         auto const offset = this->try_append(box, append);
         if (!offset)
             return;
-        box.log.appended(append.records, *offset);
+        box.log.append_succeeded(append.records, *offset);
         box.leads = true;
     }
 
-    /// Nothing where the condition failed, or the answer was lost.
+    /// Nothing if the condition failed or the response was lost.
     std::optional<std::uint64_t> try_append(Box& box, Store::Append const& append)
     {
         if (this->happens(0.15)) {
@@ -230,7 +230,7 @@
             return {};
         }
         auto const offset = this->store.append(append);
-        // An answer of another history than the one that the box knows says nothing.
+        // A response of another era than the one that the box has read proves nothing.
         if (this->store.era != box.log.era() || this->happens(0.1))
             return {};
         return offset;
@@ -242,18 +242,18 @@
             return;
         if (!box.log.reports().contains(box.next)) {
             AccountCounts const counts { { "a", this->random() % 100 } };
-            Store::Append const append { box.log.records_of_report(box.next, counts), box.log.end() };
+            Store::Append const append { box.log.report_records(box.next, counts), box.log.end() };
             auto const offset = this->try_append(box, append);
             if (!offset) {
-                this->look(box);
+                this->refresh(box);
                 return;
             }
-            box.log.appended(append.records, *offset);
+            box.log.append_succeeded(append.records, *offset);
         }
         ++box.next;
     }
 
-    /// What the platform gets: every report of the log, as the box knows it.
+    /// Sends every report of the log, as far as the box has read it, to the platform.
     void send(Box const& box)
     {
         if (!box.leads)
@@ -269,7 +269,7 @@
     {
         auto& box = this->boxes[this->random(3)];
         if (this->happens(0.02))
-            this->store.lose_last(this->random(4));
+            this->store.restore_without_last(this->random(4));
         if (this->happens(0.3))
             ++this->window;
         for (auto& other : this->boxes) {
@@ -280,7 +280,7 @@
         }
         switch (this->random(5)) {
         case 0:
-            this->look(box);
+            this->refresh(box);
             break;
         case 1:
             if (this->happens(0.2))
@@ -305,10 +305,10 @@
 
 }
 
-// What is at stake: a platform that gets two reports of one window with other counts bills wrongly. Boxes that stand
-// still, die, and come back, answers that are lost, appends that are carried out late, and a store that forgets what it
-// had acknowledged.
-TEST_CASE("whatever happens, no window is reported twice with other counts")
+// Guards against billing errors: the platform must never get two different reports of one window, even if boxes are
+// suspended, crash and restart, responses are lost, appends are executed late, and the store loses acknowledged
+// records.
+TEST_CASE("no window ever gets two different reports, whatever fails")
 {
     std::size_t reported = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -317,6 +317,6 @@
             world.step();
         reported += world.sent.size();
     }
-    // Most windows are reported, so the check above looks at something.
+    // Most windows are reported, so the check above is not vacuous.
     CHECK(reported > 300 * 20);
 }
--- a/Tests/LibMembership/ControlWorld.h
+++ b/Tests/LibMembership/ControlWorld.h
@@ -13,8 +13,8 @@
 using Membership::Duration;
 using Membership::Instant;
 
-/// Boxes that learn what the store says as ControlSource decides, in virtual time: who asks whom, who reads the store,
-/// and how old what each knows is. Answers between boxes take no time; a box that is down gives none.
+/// Boxes driven by ControlSource in virtual time: which box uses which relay, which boxes read the store, and the age
+/// of each box's data. Responses between boxes take no time; a box that is down sends none.
 class ControlWorld {
 public:
     static constexpr auto bound = std::chrono::seconds(4);
@@ -34,17 +34,17 @@
             this->start(record);
     }
 
-    /// Plays on for so long.
-    void play(Duration duration)
+    /// Runs the boxes for this long.
+    void run(Duration duration)
     {
         constexpr auto step = std::chrono::milliseconds(10);
         for (auto const end = this->now + duration; this->now < end; this->now += step) {
             for (auto& [name, box] : this->boxes)
-                this->play(box);
+                this->run(box);
         }
     }
 
-    /// Kills all boxes and starts them anew within 0.3 s. The store still lists all of them.
+    /// Kills all boxes and restarts them within 0.3 s. The store still lists all of them.
     void restart_all()
     {
         for (auto const& record : this->records)
@@ -64,31 +64,33 @@
             names.push_back(record.name);
         return names;
     }
-    /// The oldest knowledge of any box that is up.
-    [[nodiscard]] Duration oldest() const
+    /// Age of the oldest data of any running box.
+    [[nodiscard]] Duration oldest_age() const
     {
-        Duration oldest { 0 };
+        Duration oldest_age { 0 };
         for (auto const& [name, box] : this->boxes) {
             if (box.is_up)
-                oldest = std::max(oldest, box.known_at ? this->now - *box.known_at : this->now - box.starts_at);
+                oldest_age = std::max(
+                    oldest_age, box.confirmed_at ? this->now - *box.confirmed_at : this->now - box.starts_at);
         }
-        return oldest;
+        return oldest_age;
     }
-    /// How old the knowledge of each box is that is up and knows something, by name.
+    /// Age of the data of each running box, by name; the time since its start for a box without data.
     [[nodiscard]] std::map<std::string, Duration> ages() const
     {
         std::map<std::string, Duration> ages;
         for (auto const& [name, box] : this->boxes) {
             if (box.is_up)
-                ages.emplace(name, this->now - box.known_at.value_or(box.starts_at));
+                ages.emplace(name, this->now - box.confirmed_at.value_or(box.starts_at));
         }
         return ages;
     }
-    /// How many boxes that are up know nothing that is as recent as this.
-    [[nodiscard]] std::size_t old_boxes(Duration recent) const
+    /// Number of running boxes without data at least this recent.
+    [[nodiscard]] std::size_t stale_boxes(Duration recent) const
     {
         return static_cast<std::size_t>(std::ranges::count_if(this->boxes, [&](auto const& entry) {
-            return entry.second.is_up && (!entry.second.known_at || this->now - *entry.second.known_at > recent);
+            return entry.second.is_up
+                && (!entry.second.confirmed_at || this->now - *entry.second.confirmed_at > recent);
         }));
     }
     /// The name of a box that reads the store for others.
@@ -102,11 +104,11 @@
     }
 
     Instant now { std::chrono::seconds(1000) };
-    /// Calls that reached the store or were lost on the way: each read asks for two topics.
+    /// Calls that reached the store or were lost on the way: each read calls it for two topics.
     std::size_t calls { 0 };
-    /// Whether the store answers a box.
+    /// Whether the store responds to a box.
     std::function<bool(std::string const&)> store_answers = [](std::string const&) { return true; };
-    std::function<bool(std::string const&)> is_dead = [](std::string const&) { return false; };
+    std::function<bool(std::string const&)> is_down = [](std::string const&) { return false; };
 
 private:
     struct Box {
@@ -114,7 +116,7 @@
         ControlSource source;
         Instant starts_at;
         bool is_up { false };
-        std::optional<Instant> known_at;
+        std::optional<Instant> confirmed_at;
         Instant polls_at;
         Instant reads_at;
         unsigned failures { 0 };
@@ -128,23 +130,23 @@
         this->boxes.insert_or_assign(record.name, std::move(box));
     }
 
-    void play(Box& box)
+    void run(Box& box)
     {
         if (this->now < box.starts_at)
             return;
-        if (this->is_dead(box.record.name)) {
+        if (this->is_down(box.record.name)) {
             box.is_up = false;
             return;
         }
         if (!box.is_up) {
             box.is_up = true;
             box.source.wait_for_boxes(this->now + std::chrono::milliseconds(300));
-            box.source.take_boxes(this->records, this->now);
+            box.source.update_boxes(this->records, this->now);
         }
         if (this->now >= box.polls_at)
             this->poll(box);
         bool const has_to_read
-            = box.known_at ? box.source.reads_store(this->now) : !box.source.awaits_first_answer(this->now);
+            = box.confirmed_at ? box.source.reads_store(this->now) : !box.source.awaits_first_answer(this->now);
         if (this->now >= box.reads_at && has_to_read)
             this->read(box);
     }
@@ -153,15 +155,16 @@
     {
         auto relay = box.source.relay(this->now);
         for (; relay; relay = box.source.relay(this->now)) {
-            auto& asked = this->boxes.at(relay->name);
-            if (!asked.is_up) {
+            auto& relay_box = this->boxes.at(relay->name);
+            if (!relay_box.is_up) {
                 box.source.relay_failed(relay->name, this->now);
                 continue;
             }
-            asked.source.was_asked(box.record.failure_domain, this->now);
-            if (asked.known_at) {
-                box.source.relay_answered(relay->name, *asked.known_at, this->now);
-                box.known_at = std::max(box.known_at.value_or(*asked.known_at), *asked.known_at);
+            relay_box.source.request_received(box.record.failure_domain, this->now);
+            if (relay_box.confirmed_at) {
+                box.source.relay_answered(relay->name, *relay_box.confirmed_at, this->now);
+                box.confirmed_at
+                    = std::max(box.confirmed_at.value_or(*relay_box.confirmed_at), *relay_box.confirmed_at);
             } else if (!box.source.awaits_first_answer(this->now)) {
                 box.source.relay_failed(relay->name, this->now);
                 continue;
@@ -175,10 +178,10 @@
     {
         constexpr std::size_t topics = 2;
         bool const is_answered = this->store_answers(box.record.name);
-        bool const tries_one = box.known_at && box.failures > 0 && box.source.tries_one_topic(this->now);
-        this->calls += tries_one && !is_answered ? 1 : topics;
+        bool const retries_one = box.confirmed_at && box.failures > 0 && box.source.retries_one_topic(this->now);
+        this->calls += retries_one && !is_answered ? 1 : topics;
         if (is_answered) {
-            box.known_at = this->now;
+            box.confirmed_at = this->now;
             box.failures = 0;
             box.source.store_answered();
             box.reads_at = this->now + box.source.read_interval();
--- a/Tests/LibMembership/TestEndpointJournal.cpp
+++ b/Tests/LibMembership/TestEndpointJournal.cpp
@@ -24,9 +24,9 @@
     return *made;
 }
 
-/// A box that keeps its list by asking a journal.
+/// A box that keeps its list up to date by polling a journal.
 struct Follower {
-    void ask(EndpointJournal const& journal)
+    void poll(EndpointJournal const& journal)
     {
         auto const answer = journal.changes_since(this->revision);
         if (answer.is_whole)
@@ -46,7 +46,7 @@
 
 }
 
-TEST_CASE("a heartbeat that changes nothing is no change")
+TEST_CASE("a heartbeat without other changes is no change")
 {
     EndpointJournal journal;
     journal.put(endpoint("a"));
@@ -59,7 +59,7 @@
     CHECK(changes.changes[0].record->draining);
 }
 
-TEST_CASE("a follower of changes has the same list, however often and late it asks")
+TEST_CASE("a follower of changes has the same list, however often and late it polls")
 {
     pcg32 random(7);
     EndpointJournal journal;
@@ -85,21 +85,21 @@
             truth.insert_or_assign(name, endpoint(name, is_draining));
             break;
         }
-        // NOTE: The last follower asks so seldom that the journal has forgotten removals by then.
+        // NOTE: The last follower polls so rarely that the journal has discarded removals meanwhile.
         if (random(3) == 0)
-            followers[0].ask(journal);
+            followers[0].poll(journal);
         if (random(40) == 0)
-            followers[1].ask(journal);
+            followers[1].poll(journal);
         if (random(1500) == 0)
-            followers[2].ask(journal);
+            followers[2].poll(journal);
     }
     for (auto& follower : followers) {
-        follower.ask(journal);
+        follower.poll(journal);
         CHECK(follower.known == truth);
     }
 }
 
-TEST_CASE("a revision that the journal never had brings the whole list")
+TEST_CASE("a revision that the journal never had returns the whole list")
 {
     EndpointJournal journal;
     journal.put(endpoint("a"));
@@ -108,10 +108,10 @@
     CHECK(!journal.changes_since(journal.revision()).is_whole);
 }
 
-TEST_CASE("what boxes say to each other comes back as it was")
+TEST_CASE("messages between boxes are decoded as they were encoded")
 {
-    ControlQuestion const question { 77, 5, 9, "b1", { { "pool", { 12.5, 3 } } }, "a" };
-    CHECK(decode_question(encode(question)) == question);
+    ControlRequest const request { 77, 5, 9, "b1", { { "pool", { 12.5, 3 } } }, "a" };
+    CHECK(decode_request(encode(request)) == request);
     ControlAnswer answer;
     answer.source = 1;
     answer.endpoints = { 12, false, { { "a", endpoint("a", true) }, { "b", std::nullopt } } };
@@ -131,7 +131,7 @@
     CHECK(decode_box("b1", encode(record)) == record);
 }
 
-TEST_CASE("answers that hold one configuration share its bytes")
+TEST_CASE("answers with the same configuration share its bytes")
 {
     ControlAnswer first;
     first.source = 1;
@@ -143,7 +143,7 @@
     CHECK(encode(first).own.size() < 100);
 }
 
-TEST_CASE("a configuration from a box that doesn't compress it is taken as it is")
+TEST_CASE("a configuration from a box that does not compress it is accepted")
 {
     cleatbeam::membership::ControlAnswer message;
     message.set_source(1);
@@ -154,7 +154,7 @@
     CHECK(decoded->configuration == ConfigurationRecord { std::string("{}") });
 }
 
-TEST_CASE("a box that knows no compressed configuration sees a newer version without its record")
+TEST_CASE("a box that does not know compressed configurations sees a newer version without a record")
 {
     ControlAnswer answer;
     answer.source = 1;
@@ -164,18 +164,18 @@
     cleatbeam::membership::ControlAnswer message;
     REQUIRE(message.ParseFromString(bytes));
     CHECK(message.configuration_version() == 31);
-    // Such a box looks for the record in this field only; the others are new to it, and it passes over them.
+    // Such a box looks for the record in this field only and ignores the fields that it does not know.
     CHECK(!message.has_configuration());
     CHECK(message.has_compressed_configuration());
 }
 
-TEST_CASE("an answer is not taken whose compressed configuration is said to be longer than it can be")
+TEST_CASE("an answer whose compressed configuration has an impossible size is rejected")
 {
     cleatbeam::membership::ControlAnswer message;
     message.set_source(1);
     message.set_configuration_version(31);
     message.set_compressed_configuration("abc");
-    message.set_configuration_bytes(CompressedText::largest_text);
+    message.set_configuration_bytes(CompressedText::max_text_size);
     CHECK(!decode_answer(message.SerializeAsString()));
     auto const whole = encode(*decode_answer([] {
         cleatbeam::membership::ControlAnswer good;
@@ -188,11 +188,11 @@
     CHECK(!decode_answer(whole.substr(0, whole.size() - 1)));
 }
 
-TEST_CASE("bytes that are no message, and messages that say too little, are not taken")
+TEST_CASE("bytes that are no message, and incomplete messages, are rejected")
 {
     CHECK(!decode_answer("no message"));
     CHECK(!decode_answer(encode(ControlAnswer {}).whole()));
-    CHECK(!decode_question("\xff\xff\xff"));
+    CHECK(!decode_request("\xff\xff\xff"));
     CHECK(!decode_box("b1", ""));
     ControlAnswer broken;
     broken.source = 1;
@@ -200,10 +200,10 @@
     CHECK(!decode_answer(encode(broken).whole()));
 }
 
-TEST_CASE("numbers that can't be are not taken for work or shares")
+TEST_CASE("invalid values of work and shares are replaced")
 {
-    ControlQuestion question { 1, 1, 1, "b1", { { "pool", { -5, std::numeric_limits<double>::infinity() } } }, "a" };
-    auto const decoded = decode_question(encode(question));
+    ControlRequest request { 1, 1, 1, "b1", { { "pool", { -5, std::numeric_limits<double>::infinity() } } }, "a" };
+    auto const decoded = decode_request(encode(request));
     REQUIRE(decoded);
     CHECK(decoded->work.at("pool") == Routing::WorkTotals { 0, 0 });
     ControlAnswer answer;
@@ -212,20 +212,20 @@
     CHECK(decode_answer(encode(answer).whole())->answer_shares.at("pool") == 1.0);
 }
 
-TEST_CASE("demand is added up over the boxes heard of lately, each by its latest word")
+TEST_CASE("demand is added up over boxes with recent requests, each with its latest demand")
 {
     DemandPool pool;
     auto const moment = [](int milliseconds) { return Instant { std::chrono::milliseconds(milliseconds) }; };
-    pool.take("b1", { { "pool", { 100, 50 } } }, moment(0));
-    pool.take("b2", { { "pool", { 10, 5 } }, { "other", { 1, 1 } } }, moment(1000));
-    pool.take("b1", { { "pool", { 20, 30 } } }, moment(1500));
+    pool.update("b1", { { "pool", { 100, 50 } } }, moment(0));
+    pool.update("b2", { { "pool", { 10, 5 } }, { "other", { 1, 1 } } }, moment(1000));
+    pool.update("b1", { { "pool", { 20, 30 } } }, moment(1500));
     CHECK(pool.totals(moment(1600)).at("pool") == Routing::WorkTotals { 30, 35 });
     auto const later = pool.totals(moment(4100));
     CHECK(later.at("pool") == Routing::WorkTotals { 20, 30 });
     CHECK(!later.contains("other"));
 }
 
-TEST_CASE("an age that can't be is taken for a great one")
+TEST_CASE("an invalid age becomes a large one")
 {
     ControlAnswer answer;
     answer.source = 1;
@@ -235,14 +235,14 @@
     CHECK(decoded->endpoints_age >= std::chrono::hours(1));
 }
 
-TEST_CASE("a question with endless names or services is not taken")
+TEST_CASE("a request with overlong names or too many services is rejected")
 {
-    ControlQuestion const usual { 1, 1, 1, std::string(256, 'b'), {}, "a" };
-    CHECK(decode_question(encode(usual)) == usual);
-    CHECK_FALSE(decode_question(encode(ControlQuestion { 1, 1, 1, std::string(257, 'b'), {}, "a" })));
-    CHECK_FALSE(decode_question(encode(ControlQuestion { 1, 1, 1, "b", {}, std::string(10'000, 'a') })));
-    ControlQuestion many { 1, 1, 1, "b", {}, "a" };
+    ControlRequest const usual { 1, 1, 1, std::string(256, 'b'), {}, "a" };
+    CHECK(decode_request(encode(usual)) == usual);
+    CHECK_FALSE(decode_request(encode(ControlRequest { 1, 1, 1, std::string(257, 'b'), {}, "a" })));
+    CHECK_FALSE(decode_request(encode(ControlRequest { 1, 1, 1, "b", {}, std::string(10'000, 'a') })));
+    ControlRequest many { 1, 1, 1, "b", {}, "a" };
     for (int service = 0; service <= 64; ++service)
         many.work["s" + std::to_string(service)] = { 1, 1 };
-    CHECK_FALSE(decode_question(encode(many)));
+    CHECK_FALSE(decode_request(encode(many)));
 }
