--- a/Libraries/LibGateway/BoxRegistry.cpp
+++ b/Libraries/LibGateway/BoxRegistry.cpp
@@ -10,12 +10,12 @@
 using Core::monotonic_now;
 
 BoxRegistry::BoxRegistry(GatewayState& state, Membership::ControlSource& source, Routing::SocketAddress store,
-    Membership::BoxRecord own, OnBoxes on_boxes, std::uint64_t seed)
+    Membership::BoxRecord own, OnBoxesRead on_boxes_read, std::uint64_t seed)
     : state(state)
     , source(source)
     , connection(state.context, std::move(store))
     , own(std::move(own))
-    , on_boxes(std::move(on_boxes))
+    , on_boxes_read(std::move(on_boxes_read))
     , pause(state.context)
     , random(seed)
 {
@@ -29,79 +29,79 @@
         static_cast<void>(co_await this->write(own_record));
         co_await sleep_for(settling_time);
     }
-    unsigned readings = 0;
+    unsigned reads = 0;
     for (;;) {
         auto pause = short_pause;
         // NOTE: All boxes learn of it within a second, so they don't all ask in the same moment.
-        if (std::exchange(this->has_to_read, false))
-            co_await sleep_for(this->spread(short_pause) - short_pause);
-        if (auto boxes = co_await this->read()) {
+        if (std::exchange(this->must_read, false))
+            co_await sleep_for(this->with_jitter(short_pause) - short_pause);
+        if (auto boxes = co_await this->read_boxes()) {
             this->source.take_boxes(std::move(*boxes), monotonic_now());
             this->state.metrics.set_boxes(this->source.boxes().size());
-            this->on_boxes();
+            this->on_boxes_read();
             auto const* const listed = this->source.boxes().find(this->own.name);
             bool const is_listed = listed && *listed == this->own;
             if (is_listed)
-                pause = this->source.list_pause(readings++, monotonic_now());
+                pause = this->source.list_pause(reads++, monotonic_now());
             else
                 static_cast<void>(co_await this->write(own_record));
-            co_await this->drop_left_over_records();
+            co_await this->delete_stale_records();
         } else {
             this->source.boxes_unknown();
-            this->on_boxes();
+            this->on_boxes_read();
         }
-        co_await this->write_kept(monotonic_now() + this->spread(pause));
+        co_await this->write_queued(monotonic_now() + this->with_jitter(pause));
     }
 }
 
-void BoxRegistry::keep(Adapter::KeyedRecord record)
+void BoxRegistry::queue_write(Adapter::KeyedRecord record)
 {
-    this->kept.push_back(std::move(record));
+    this->queued_writes.push_back(std::move(record));
     this->pause.end();
 }
 
-Task<void> BoxRegistry::write_kept(Core::Instant until)
+Task<void> BoxRegistry::write_queued(Core::Instant until)
 {
-    bool is_refused = false;
-    for (auto now = monotonic_now(); now < until && !this->has_to_read; now = monotonic_now()) {
-        if (this->kept.empty() || is_refused)
-            co_await this->pause.wait(this->kept.empty() ? until - now : std::min(short_pause, until - now));
-        if (this->kept.empty())
+    bool has_failed = false;
+    for (auto now = monotonic_now(); now < until && !this->must_read; now = monotonic_now()) {
+        if (this->queued_writes.empty() || has_failed)
+            co_await this->pause.wait(this->queued_writes.empty() ? until - now : std::min(short_pause, until - now));
+        if (this->queued_writes.empty())
             continue;
-        auto const record = this->kept.front();
-        is_refused = !co_await this->write(record);
-        if (is_refused)
+        auto const record = this->queued_writes.front();
+        has_failed = !co_await this->write(record);
+        if (has_failed)
             continue;
         if (!record.value)
-            this->written.erase(record.key);
-        else if (this->written.size() < most_written_remembered)
-            this->written.insert_or_assign(record.key, *record.value);
-        this->kept.pop_front();
+            this->written_records.erase(record.key);
+        else if (this->written_records.size() < max_written_records)
+            this->written_records.insert_or_assign(record.key, *record.value);
+        this->queued_writes.pop_front();
     }
 }
 
 void BoxRegistry::store_restored()
 {
-    this->has_to_read = true;
+    this->must_read = true;
     this->pause.end();
 }
 
-void BoxRegistry::keep_what_is_missing(std::set<std::string> const& listed)
+void BoxRegistry::rewrite_missing(std::set<std::string> const& listed)
 {
-    for (auto const& [key, value] : this->written) {
+    for (auto const& [key, value] : this->written_records) {
         if (!listed.contains(key))
-            this->keep({ key, value });
+            this->queue_write({ key, value });
     }
 }
 
-Task<std::optional<std::vector<Membership::BoxRecord>>> BoxRegistry::read()
+Task<std::optional<std::vector<Membership::BoxRecord>>> BoxRegistry::read_boxes()
 {
     Core::LastReason reason;
     auto const topic = co_await read_whole_topic(
-        Adapter::Topic::Boxes, reason, [this](std::string const& target) -> Task<std::optional<StoreAnswer>> {
+        Adapter::Topic::Boxes, reason, [this](std::string const& target) -> Task<std::optional<HttpAnswer>> {
             Core::LastReason call_reason;
             auto answer = co_await this->connection.get(target, timeouts, call_reason);
-            co_return this->accepted(std::move(answer), call_reason.text);
+            co_return this->check_answer(std::move(answer), call_reason.text);
         });
     if (!topic) {
         Log::EventLine("boxes_unread").with("reason", reason.text).warning();
@@ -112,8 +112,8 @@
     for (auto const& record : topic->records) {
         listed.insert(record.key);
         if (Membership::is_crash_key(record.key)) {
-            if (this->on_other && record.value)
-                this->on_other(record.key, *record.value);
+            if (this->on_other_record && record.value)
+                this->on_other_record(record.key, *record.value);
             continue;
         }
         auto box = Membership::decode_box(record.key, record.value.value_or(""));
@@ -122,7 +122,7 @@
         else
             this->state.metrics.count_bad_record("box");
     }
-    this->keep_what_is_missing(listed);
+    this->rewrite_missing(listed);
     co_return boxes;
 }
 
@@ -131,7 +131,7 @@
     Core::LastReason reason;
     auto answer = co_await this->connection.post(
         Adapter::append_target(Adapter::Topic::Boxes), Adapter::encode_record(record), timeouts, reason);
-    answer = this->accepted(std::move(answer), reason.text);
+    answer = this->check_answer(std::move(answer), reason.text);
     // NOTE: Writing a record twice does no harm, so nothing has to be known of a write whose answer was lost.
     Log::EventLine(record.value ? "box_record_written" : "box_record_dropped")
         .with("box", record.key)
@@ -140,15 +140,15 @@
     co_return answer.has_value();
 }
 
-Task<void> BoxRegistry::drop_left_over_records()
+Task<void> BoxRegistry::delete_stale_records()
 {
     for (auto const& name : this->source.long_gone(monotonic_now())) {
-        Adapter::KeyedRecord const dropped { name, std::nullopt };
-        static_cast<void>(co_await this->write(dropped));
+        Adapter::KeyedRecord const deletion { name, std::nullopt };
+        static_cast<void>(co_await this->write(deletion));
     }
 }
 
-std::optional<StoreAnswer> BoxRegistry::accepted(std::optional<StoreAnswer> answer, std::string const& reason)
+std::optional<HttpAnswer> BoxRegistry::check_answer(std::optional<HttpAnswer> answer, std::string const& reason)
 {
     this->state.metrics.count_store_bytes(this->connection.last_progress().received_bytes);
     this->state.metrics.count_store_call("boxes", answer ? std::to_string(answer->status) : "no-answer");
@@ -160,7 +160,7 @@
     return std::nullopt;
 }
 
-Core::Duration BoxRegistry::spread(Core::Duration pause)
+Core::Duration BoxRegistry::with_jitter(Core::Duration pause)
 {
     // NOTE: Up to half as long again, so that boxes that started together don't ask together for ever.
     return pause
--- a/Libraries/LibGateway/BoxRegistry.h
+++ b/Libraries/LibGateway/BoxRegistry.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/GatewayState.h>
-#include <LibGateway/StoreConnection.h>
+#include <LibGateway/HttpConnection.h>
 #include <LibMembership/ControlSource.h>
 #include <LibMembership/RelayMessages.h>
 #include <platform/StoreRecords.h>
@@ -19,10 +19,10 @@
 class BoxRegistry {
 public:
     /// Called when the boxes were read, or could not be.
-    using OnBoxes = std::function<void()>;
+    using OnBoxesRead = std::function<void()>;
 
     BoxRegistry(GatewayState& state, Membership::ControlSource& source, Routing::SocketAddress store,
-        Membership::BoxRecord own, OnBoxes on_boxes, std::uint64_t seed);
+        Membership::BoxRecord own, OnBoxesRead on_boxes_read, std::uint64_t seed);
 
     /// What starts with this process.
     enum class Start {
@@ -31,16 +31,16 @@
         OfAllBoxes,
     };
     /// Longest time until the list of boxes is known after such a start, where the store answers as usual.
-    [[nodiscard]] static Core::Duration longest_start(Start start)
+    [[nodiscard]] static Core::Duration max_startup_time(Start start)
     {
         return start == Start::OfAllBoxes ? settling_time + usual_call_time : usual_call_time;
     }
 
     /// Called with each record that is not of a box.
-    using OnOther = std::function<void(std::string const& key, std::string const& value)>;
-    void set_on_other(OnOther taker) { this->on_other = std::move(taker); }
+    using OnOtherRecord = std::function<void(std::string const& key, std::string const& value)>;
+    void set_on_other_record(OnOtherRecord handler) { this->on_other_record = std::move(handler); }
     /// Writes the record among those of boxes, and again until the store has taken it.
-    void keep(Adapter::KeyedRecord record);
+    void queue_write(Adapter::KeyedRecord record);
 
     /// The store has come back from a copy: the list is read anew, and what this box wrote and the copy lacks is
     /// written again.
@@ -52,17 +52,17 @@
 
 private:
     /// The records of all boxes; nothing if the store could not be read.
-    [[nodiscard]] Task<std::optional<std::vector<Membership::BoxRecord>>> read();
+    [[nodiscard]] Task<std::optional<std::vector<Membership::BoxRecord>>> read_boxes();
     /// True if the store has taken it.
     [[nodiscard]] Task<bool> write(Adapter::KeyedRecord const& record);
     /// Writes what keep() was given, in order. Until `until`, whenever there is something to write.
-    [[nodiscard]] Task<void> write_kept(Core::Instant until);
-    [[nodiscard]] Task<void> drop_left_over_records();
+    [[nodiscard]] Task<void> write_queued(Core::Instant until);
+    [[nodiscard]] Task<void> delete_stale_records();
     /// Keeps what this box once wrote and the store no longer lists.
-    void keep_what_is_missing(std::set<std::string> const& listed);
+    void rewrite_missing(std::set<std::string> const& listed);
     /// Counts the call; nothing, with a log line, for any answer but a success.
-    [[nodiscard]] std::optional<StoreAnswer> accepted(std::optional<StoreAnswer> answer, std::string const& reason);
-    [[nodiscard]] Core::Duration spread(Core::Duration pause);
+    [[nodiscard]] std::optional<HttpAnswer> check_answer(std::optional<HttpAnswer> answer, std::string const& reason);
+    [[nodiscard]] Core::Duration with_jitter(Core::Duration pause);
 
     /// The store usually takes 4 ms, and up to 60 times as long when it is slow.
     static constexpr CallTimeouts timeouts { std::chrono::milliseconds(700), std::chrono::milliseconds(1000) };
@@ -75,18 +75,18 @@
     static constexpr Core::Duration usual_call_time { std::chrono::milliseconds(300) };
 
     /// What a process may have written beside its own record, some 100 bytes each.
-    static constexpr std::size_t most_written_remembered = 256;
+    static constexpr std::size_t max_written_records = 256;
 
     GatewayState& state;
     Membership::ControlSource& source;
-    StoreConnection connection;
+    HttpConnection connection;
     Membership::BoxRecord own;
-    OnBoxes on_boxes;
-    OnOther on_other;
-    std::deque<Adapter::KeyedRecord> kept;
+    OnBoxesRead on_boxes_read;
+    OnOtherRecord on_other_record;
+    std::deque<Adapter::KeyedRecord> queued_writes;
     /// Records of this process, beside its own, that the store has taken.
-    std::map<std::string, std::string> written;
-    bool has_to_read { false };
+    std::map<std::string, std::string> written_records;
+    bool must_read { false };
     Pause pause;
     pcg32 random;
 };
--- a/Libraries/LibGateway/ControlPlane.cpp
+++ b/Libraries/LibGateway/ControlPlane.cpp
@@ -47,7 +47,7 @@
 {
     this->records.set_apply_within(environment.lease.apply_within);
     // NOTE: Not the other way round: records of endpoints are short, and must not wait for a long configuration.
-    this->operator_follower.leave_retries_to(this->endpoints_follower);
+    this->operator_follower.defer_retries_to(this->endpoints_follower);
     this->records.set_on_new_era([this] {
         this->wake_all();
         if (this->registry)
@@ -85,25 +85,27 @@
         return false;
     this->listener.emplace(
         std::move(*acceptor),
-        [this](std::string_view path, std::string const& body) { return this->answer_box(path, body); }, most_askers);
+        [this](std::string_view path, std::string const& body) { return this->answer_request(path, body); },
+        max_connections);
     Membership::BoxRecord own { this->box_name, { this->ports->host, this->listener->port() }, this->failure_domain,
         this->link_bytes_per_second };
-    LoadExchange::Knowledge knowledge {
-        [this](Core::Instant now) { return this->records.knowledge(now); },
-        [this](auto const& told, Core::Instant told_at) {
-            this->records.take_knowledge(told, told_at);
+    LoadExchange::StoreVersionHandlers version_handlers {
+        [this](Core::Instant now) { return this->records.store_versions(now); },
+        [this](auto const& versions, Core::Instant sent_at) {
+            this->records.apply_store_versions(versions, sent_at);
             this->state.awaits_other_boxes = false;
         },
     };
-    this->loads.emplace(this->state, this->source.boxes(), own.address, source_id(this->seed), std::move(knowledge),
-        [this](std::string_view bytes, auto const& from) { return this->take_message(bytes, from); });
+    this->loads.emplace(this->state, this->source.boxes(), own.address, source_id(this->seed),
+        std::move(version_handlers),
+        [this](std::string_view bytes, auto const& from) { return this->handle_message(bytes, from); });
     if (!this->loads->open(last_reason))
         return false;
     this->state.awaits_other_boxes = true;
     this->registry.emplace(
-        this->state, this->source, this->store, own, [this] { this->take_boxes(); }, this->seed);
-    this->connect_crash_news();
-    this->state.endpoint_news.set_way(
+        this->state, this->source, this->store, own, [this] { this->handle_box_list(); }, this->seed);
+    this->connect_crash_exchange();
+    this->state.endpoint_news.set_transport(
         [this](std::string const& bytes, std::size_t boxes) { this->loads->send(bytes, boxes); });
     this->open_leadership(own);
     return true;
@@ -119,94 +121,96 @@
         = [this](auto const& address, auto const& bytes) { this->loads->send_to_address(address, bytes); };
     auto const to_some = [this](auto const& bytes, std::size_t boxes) { this->loads->send(bytes, boxes); };
     this->leadership.emplace(this->state, this->source.boxes(), own, process, this->store, settings.lease,
-        this->is_first_start,
-        Leadership::Ways { to_box, to_some, [this](Core::Instant now) { return this->source.hears_others(now); } });
-    this->records.set_leader_news({ [this](Core::Instant now) { return this->leadership->news(now); },
-        [this](Leadership::News const& news) { this->leadership->take_news(news); } });
+        this->is_first_start, Leadership::Transport { to_box, to_some, [this](Core::Instant now) {
+                                                         return this->source.hears_others(now);
+                                                     } });
+    this->records.set_announcement_relay(
+        { [this](Core::Instant now) { return this->leadership->announcement_to_relay(now); },
+            [this](Leadership::RelayedAnnouncement const& relayed) { this->leadership->receive_relayed(relayed); } });
     if (settings.reports_usage)
         this->usage.emplace(this->state, *this->leadership, this->source.boxes(), process, settings, to_box);
     if (settings.orders_servers && this->fleet_policy)
         this->fleet.emplace(this->state, *this->leadership, settings, *this->fleet_policy);
 }
 
-bool ControlPlane::take_message(std::string_view bytes, Routing::SocketAddress const& from)
+bool ControlPlane::handle_message(std::string_view bytes, Routing::SocketAddress const& from)
 {
-    if (this->take_crash_news(bytes) || this->take_endpoint_news(bytes, from))
+    if (this->handle_crash_message(bytes) || this->handle_endpoint_notices(bytes, from))
         return true;
     auto const message = Leader::decode_leader_message(bytes);
     if (message && this->leadership)
-        this->take_leader_message(*message);
+        this->handle_leader_message(*message);
     return message.has_value();
 }
 
-void ControlPlane::take_leader_message(Leader::LeaderMessage const& message)
+void ControlPlane::handle_leader_message(Leader::LeaderMessage const& message)
 {
     if (auto const* const announcement = std::get_if<Leader::Announcement>(&message))
-        this->leadership->hear(*announcement, monotonic_now());
+        this->leadership->receive(*announcement, monotonic_now());
     else if (this->usage)
-        this->usage->hear(std::get<Leader::UsageMessage>(message));
+        this->usage->receive(std::get<Leader::UsageMessage>(message));
 }
 
-void ControlPlane::ending()
+void ControlPlane::prepare_exit()
 {
     if (this->usage)
-        this->usage->tell_now();
+        this->usage->send_counts_now();
 }
 
-void ControlPlane::connect_crash_news()
+void ControlPlane::connect_crash_exchange()
 {
     /// A request that is refused is told on to so many boxes a second by each that knows it, so that a box that missed
     /// the news knows within a second or two, however many there are.
     constexpr std::size_t some_boxes = 3;
-    this->state.crash_news.set_ways(
-        [this](std::string const& bytes, CrashNews::Audience audience) {
+    this->state.crash_news.set_transport(
+        [this](std::string const& bytes, CrashExchange::Audience audience) {
             auto const all = this->source.boxes().size();
-            this->loads->send(bytes, audience == CrashNews::Audience::AllBoxes ? all : some_boxes);
+            this->loads->send(bytes, audience == CrashExchange::Audience::AllBoxes ? all : some_boxes);
         },
         [this](std::string const& key, std::optional<std::string> value) {
-            this->registry->keep({ key, std::move(value) });
+            this->registry->queue_write({ key, std::move(value) });
         });
-    this->registry->set_on_other(
-        [this](std::string const& key, std::string const& value) { this->state.crash_news.take_stored(key, value); });
+    this->registry->set_on_other_record(
+        [this](std::string const& key, std::string const& value) { this->state.crash_news.apply_stored(key, value); });
 }
 
-bool ControlPlane::take_crash_news(std::string_view bytes)
+bool ControlPlane::handle_crash_message(std::string_view bytes)
 {
     auto const message = Membership::decode_crashes(bytes);
     if (message)
-        this->state.crash_news.hear(*message);
+        this->state.crash_news.receive(*message);
     return message.has_value();
 }
 
-bool ControlPlane::take_endpoint_news(std::string_view bytes, Routing::SocketAddress const& from)
+bool ControlPlane::handle_endpoint_notices(std::string_view bytes, Routing::SocketAddress const& from)
 {
     auto const message = Membership::decode_endpoint_news(bytes, monotonic_now());
     if (!message)
         return false;
-    this->state.endpoint_news.hear(
+    this->state.endpoint_news.receive(
         *message, [this, &from](std::string const& answer) { this->loads->send_to_address(from, answer); });
     // NOTE: Behind what it asked for, since it ends the asker's wait.
     if (message->asks)
-        this->loads->tell_one(from);
+        this->loads->send_report(from);
     return true;
 }
 
-void ControlPlane::take_boxes()
+void ControlPlane::handle_box_list()
 {
     std::vector<std::string> names;
     for (auto const& [name, box] : this->source.boxes().all())
         names.push_back(name);
     this->state.router.set_boxes(Routing::BoxGroup(this->box_name, names));
-    if (!std::exchange(this->has_asked_others, true))
-        asio::co_spawn(this->state.context, this->ask_others(), asio::detached);
+    if (!std::exchange(this->has_requested_notices, true))
+        asio::co_spawn(this->state.context, this->request_notices(), asio::detached);
     this->wake_all();
 }
 
-Task<void> ControlPlane::ask_others()
+Task<void> ControlPlane::request_notices()
 {
-    this->state.endpoint_news.ask();
+    this->state.endpoint_news.request_notices();
     if (this->source.boxes().size() > 1)
-        co_await sleep_for(longest_wait_for_others);
+        co_await sleep_for(max_notice_wait);
     this->state.awaits_other_boxes = false;
 }
 
@@ -215,7 +219,7 @@
     auto& context = this->state.context;
     auto const start = this->is_first_start ? BoxRegistry::Start::OfAllBoxes : BoxRegistry::Start::OfThisBox;
     if (this->registry)
-        this->source.wait_for_boxes(monotonic_now() + BoxRegistry::longest_start(start));
+        this->source.wait_for_boxes(monotonic_now() + BoxRegistry::max_startup_time(start));
     asio::co_spawn(context, this->operator_follower.run(), asio::detached);
     asio::co_spawn(context, this->endpoints_follower.run(), asio::detached);
     if (!this->registry)
@@ -223,16 +227,16 @@
     asio::co_spawn(context, this->listener->run(), asio::detached);
     asio::co_spawn(context, this->registry->run(start), asio::detached);
     asio::co_spawn(context, this->relay_follower.run(), asio::detached);
-    asio::co_spawn(context, this->loads->tell(), asio::detached);
-    asio::co_spawn(context, this->loads->hear(), asio::detached);
+    asio::co_spawn(context, this->loads->send_reports(), asio::detached);
+    asio::co_spawn(context, this->loads->receive(), asio::detached);
     asio::co_spawn(context, this->state.crash_news.run(), asio::detached);
     asio::co_spawn(context, this->state.endpoint_news.run(), asio::detached);
     if (!this->leadership)
         return;
-    asio::co_spawn(context, this->leadership->stand(), asio::detached);
+    asio::co_spawn(context, this->leadership->run_election(), asio::detached);
     asio::co_spawn(context, this->leadership->announce(), asio::detached);
     if (this->usage) {
-        asio::co_spawn(context, this->usage->tell(), asio::detached);
+        asio::co_spawn(context, this->usage->send_counts(), asio::detached);
         asio::co_spawn(context, this->usage->report(), asio::detached);
     }
     if (this->fleet)
@@ -255,35 +259,35 @@
         this->fleet->set_settings(*environment.leader);
 }
 
-void ControlPlane::woke(Core::Instant now)
+void ControlPlane::after_suspension(Core::Instant now)
 {
     this->source.woke(now);
-    this->operator_follower.woke();
-    this->endpoints_follower.woke();
+    this->operator_follower.after_suspension();
+    this->endpoints_follower.after_suspension();
     this->relay_follower.wake();
     if (this->leadership)
-        this->leadership->woke(now);
+        this->leadership->after_suspension(now);
 }
 
-ProbeAnswer ControlPlane::answer_box(std::string_view path, std::string const& body)
+ProbeAnswer ControlPlane::answer_request(std::string_view path, std::string const& body)
 {
     if (path != control_path)
         return { status_not_found, "" };
-    auto const question = Membership::decode_question(body);
-    if (!question)
+    auto const request = Membership::decode_question(body);
+    if (!request)
         return { status_bad_request, "" };
     // NOTE: A box that stops sends those that rely on it away while it still runs.
     if (this->state.is_stopping)
         return { status_unavailable, "" };
     auto const now = monotonic_now();
     bool const was_relay = this->source.is_relay(now);
-    this->source.was_asked(question->asker_domain, now);
+    this->source.was_asked(request->asker_domain, now);
     if (!was_relay) {
         Log::EventLine("relay_begun").info();
         this->wake_followers();
     }
-    auto const longest_configuration = static_cast<double>(this->link_bytes_per_second) * longest_transfer_seconds;
-    auto const answer = this->records.answer(*question, static_cast<std::size_t>(longest_configuration), now);
+    auto const max_configuration_bytes = static_cast<double>(this->link_bytes_per_second) * max_transfer_seconds;
+    auto const answer = this->records.answer(*request, static_cast<std::size_t>(max_configuration_bytes), now);
     if (!answer)
         return { status_unavailable, "" };
     this->state.metrics.count_relay_answer();
--- a/Libraries/LibGateway/ControlPlane.h
+++ b/Libraries/LibGateway/ControlPlane.h
@@ -25,29 +25,29 @@
     void start();
     void set_environment(Adapter::BoxEnvironment const& environment);
     /// The box was suspended until now.
-    void woke(Core::Instant now);
+    void after_suspension(Core::Instant now);
     /// The process ends now: others are told what only it knows.
-    void ending();
+    void prepare_exit();
     /// Whether the endpoints were read whole at least once.
-    [[nodiscard]] bool knows_endpoints() const { return this->records.knows_endpoints(); }
+    [[nodiscard]] bool has_endpoints() const { return this->records.has_endpoints(); }
 
 private:
     [[nodiscard]] StoreFollower::Paces operator_paces() const;
     [[nodiscard]] StoreFollower::Paces endpoints_paces(Core::Duration drain_within) const;
-    [[nodiscard]] ProbeAnswer answer_box(std::string_view path, std::string const& body);
-    void connect_crash_news();
+    [[nodiscard]] ProbeAnswer answer_request(std::string_view path, std::string const& body);
+    void connect_crash_exchange();
     void open_leadership(Membership::BoxRecord const& own);
     /// Takes what came from another box and is no load report. False for bytes that are nothing that it knows.
-    [[nodiscard]] bool take_message(std::string_view bytes, Routing::SocketAddress const& from);
-    void take_leader_message(Leader::LeaderMessage const& message);
+    [[nodiscard]] bool handle_message(std::string_view bytes, Routing::SocketAddress const& from);
+    void handle_leader_message(Leader::LeaderMessage const& message);
     /// False for bytes that hold none.
-    [[nodiscard]] bool take_crash_news(std::string_view bytes);
+    [[nodiscard]] bool handle_crash_message(std::string_view bytes);
     /// The same.
-    [[nodiscard]] bool take_endpoint_news(std::string_view bytes, Routing::SocketAddress const& from);
+    [[nodiscard]] bool handle_endpoint_notices(std::string_view bytes, Routing::SocketAddress const& from);
     /// The list of boxes was read, or could not be.
-    void take_boxes();
+    void handle_box_list();
     /// Asks a few boxes what they know that a box which starts can't learn from the store, and waits for one to answer.
-    [[nodiscard]] Task<void> ask_others();
+    [[nodiscard]] Task<void> request_notices();
     void wake_followers();
     /// The list of boxes is known now, or known to be out of reach.
     void wake_all();
@@ -66,12 +66,12 @@
     /// A configuration is passed on if, compressed, it takes this box's link no longer than this. Passed on to twenty
     /// boxes it then takes the link 0.2 s, as long as the link of an asker that is twenty times narrower takes for one.
     /// Longer ones are read from the store by each box.
-    static constexpr double longest_transfer_seconds = 0.010;
+    static constexpr double max_transfer_seconds = 0.010;
     /// Some thirty times the way to another box and back. A box that starts refuses its clients until then, where those
     /// it asks are gone.
-    static constexpr Core::Duration longest_wait_for_others { std::chrono::milliseconds(60) };
+    static constexpr Core::Duration max_notice_wait { std::chrono::milliseconds(60) };
     /// Boxes that may ask this one at the same time: a failure domain at the planned size has 59.
-    static constexpr std::size_t most_askers = 256;
+    static constexpr std::size_t max_connections = 256;
 
     GatewayState& state;
     Membership::ControlSource source;
@@ -86,7 +86,7 @@
     std::uint64_t link_bytes_per_second;
     std::uint64_t seed;
     bool is_first_start;
-    bool has_asked_others { false };
+    bool has_requested_notices { false };
     std::optional<ProbeListener> listener;
     /// Nothing where other boxes can't reach this one.
     std::optional<BoxRegistry> registry;
--- a/Libraries/LibGateway/ControlRecords.cpp
+++ b/Libraries/LibGateway/ControlRecords.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// The operator's record as the store holds it; nothing, with a reason, if it can't be had from what a relay sent.
-struct TextOf {
+struct ConfigurationText {
     Core::LastReason& reason;
 
     std::optional<std::string> operator()(std::string const& text) const { return text; }
@@ -32,58 +32,58 @@
 {
 }
 
-void ControlRecords::take_operator_records(
+void ControlRecords::apply_operator_records(
     std::vector<Adapter::KeyedRecord> const& records, Instant asked_at, Coverage coverage)
 {
     auto const now = monotonic_now();
-    this->is_written_again |= coverage != Coverage::WholeList && !records.empty();
+    this->is_rewritten |= coverage != Coverage::WholeList && !records.empty();
     bool const is_whole = coverage != Coverage::Part;
-    bool const may_vouch = is_whole && (!this->history.is_settling(now) || this->is_written_again);
-    auto const vouched_at = may_vouch ? std::optional(asked_at) : std::nullopt;
+    bool const is_confirmed = is_whole && (!this->history.is_settling(now) || this->is_rewritten);
+    auto const confirmed_at = is_confirmed ? std::optional(asked_at) : std::nullopt;
     // NOTE: Only the last version matters to a box that catches up; an earlier one does if the last can't be read.
     bool is_taken = false;
     for (auto record = records.rbegin(); record != records.rend() && !is_taken; ++record) {
         if (!Adapter::is_configuration(*record) || !record->value)
             continue;
-        auto const reading = this->take_configuration(*record->value, asked_at, vouched_at);
-        if (reading.taken == Taken::InForce)
+        auto const result = this->apply_configuration(*record->value, asked_at, confirmed_at);
+        if (result.outcome == Outcome::InForce)
             this->configuration_record = *record->value;
-        is_taken = reading.taken != Taken::Unreadable;
-        this->version_in_store = std::max(this->version_in_store, reading.version);
+        is_taken = result.outcome != Outcome::Unreadable;
+        this->version_in_store = std::max(this->version_in_store, result.version);
     }
     if (!is_whole)
         this->note_read_version(this->version() + 1, now);
-    else if (this->state.router.configuration() && this->is_vouched_for(now))
+    else if (this->state.router.configuration() && this->may_confirm_configuration(now))
         this->confirm_configuration(asked_at);
 }
 
-bool ControlRecords::is_vouched_for(Instant now) const
+bool ControlRecords::may_confirm_configuration(Instant now) const
 {
-    if (this->version_in_store < this->version_told)
+    if (this->version_in_store < this->version_reported)
         return false;
     if (!this->history.risen_at())
         return true;
     // NOTE: A copy may lack the version that took a key away. What this box holds is the newest that was known before,
     // so it is served until its lease ends; after that only what the operator has written again is proof.
-    bool const is_settled = this->is_written_again || !this->history.is_settling(now);
+    bool const is_settled = this->is_rewritten || !this->history.is_settling(now);
     return is_settled && this->version_in_store >= this->version();
 }
 
-bool ControlRecords::hear_era(std::uint64_t era, std::optional<Instant> risen_at, Instant now)
+bool ControlRecords::observe_era(std::uint64_t era, std::optional<Instant> era_began_at, Instant now)
 {
-    auto const heard = this->history.hear(era, risen_at, now);
-    if (heard == Membership::StoreHistory::Heard::LaterHistory)
+    auto const relation = this->history.hear(era, era_began_at, now);
+    if (relation == Membership::StoreHistory::Heard::LaterHistory)
         this->begin_era(now);
-    return heard != Membership::StoreHistory::Heard::EarlierHistory;
+    return relation != Membership::StoreHistory::Heard::EarlierHistory;
 }
 
 void ControlRecords::begin_era(Instant now)
 {
     this->version_in_store = 0;
-    this->version_told = 0;
-    this->is_written_again = false;
+    this->version_reported = 0;
+    this->is_rewritten = false;
     // NOTE: Entries that are missing may be of endpoints that live, as after any return of the store.
-    this->returned_at = now;
+    this->store_returned_at = now;
     this->state.router.store_returned(now);
     this->state.router.endpoints_in_doubt();
     this->state.metrics.count_store_restored();
@@ -102,8 +102,8 @@
     this->state.router.confirm_configuration(asked_at);
 }
 
-ControlRecords::Reading ControlRecords::take_configuration(
-    std::string const& text, Instant asked_at, std::optional<Instant> vouched_at)
+ControlRecords::ConfigurationResult ControlRecords::apply_configuration(
+    std::string const& text, Instant asked_at, std::optional<Instant> confirmed_at)
 {
     auto const began = monotonic_now();
     Core::LastReason reason;
@@ -121,9 +121,9 @@
         : std::ranges::count_if(*decoded->accounts, [](auto const& account) { return account.priority.has_value(); });
     auto snapshot = std::make_shared<Routing::ConfigurationSnapshot const>(std::move(*decoded));
     this->note_read_version(version, began);
-    bool const is_told_of_newer = snapshot->version() < this->version_told;
+    bool const is_newer_reported = snapshot->version() < this->version_reported;
     bool const is_newer
-        = this->state.router.offer_configuration(std::move(snapshot), is_told_of_newer ? std::nullopt : vouched_at);
+        = this->state.router.offer_configuration(std::move(snapshot), is_newer_reported ? std::nullopt : confirmed_at);
     Log::EventLine(is_newer ? "configuration_in_force" : "configuration_not_newer")
         .with("version", version)
         .with("routes", routes)
@@ -133,19 +133,19 @@
         .with("asked_ms_ago", Core::to_milliseconds(began - asked_at))
         .with("decode_ms", Core::to_milliseconds(monotonic_now() - began))
         .info();
-    return { is_newer ? Taken::InForce : Taken::NotNewer, version };
+    return { is_newer ? Outcome::InForce : Outcome::NotNewer, version };
 }
 
-void ControlRecords::take_relayed_configuration(Membership::ConfigurationRecord const& record, Instant vouched_at)
+void ControlRecords::apply_relayed_configuration(Membership::ConfigurationRecord const& record, Instant confirmed_at)
 {
     Core::LastReason reason;
-    auto const text = std::visit(TextOf { reason }, record);
+    auto const text = std::visit(ConfigurationText { reason }, record);
     if (!text) {
         this->state.metrics.count_bad_record("configuration");
         Log::EventLine("configuration_rejected").with("reason", reason.text).error();
         return;
     }
-    if (this->take_configuration(*text, vouched_at, vouched_at).taken == Taken::InForce)
+    if (this->apply_configuration(*text, confirmed_at, confirmed_at).outcome == Outcome::InForce)
         this->configuration_record = record;
 }
 
@@ -179,7 +179,7 @@
     return compressed;
 }
 
-void ControlRecords::take_endpoint_records(
+void ControlRecords::apply_endpoint_records(
     std::vector<Adapter::KeyedRecord> const& records, Instant asked_at, Coverage coverage)
 {
     bool const is_whole_list = coverage == Coverage::WholeList;
@@ -205,10 +205,10 @@
     this->state.metrics.set_endpoints(this->state.router.endpoint_count());
 }
 
-void ControlRecords::confirm_endpoints(Instant vouched_at)
+void ControlRecords::confirm_endpoints(Instant confirmed_at)
 {
-    this->endpoints_confirmed_at = vouched_at;
-    this->state.router.endpoints_confirmed(vouched_at);
+    this->endpoints_confirmed_at = confirmed_at;
+    this->state.router.endpoints_confirmed(confirmed_at);
 }
 
 std::optional<Routing::EndpointRecord> ControlRecords::decode_endpoint(Adapter::KeyedRecord const& record)
@@ -234,7 +234,7 @@
         return;
     position->second = reason;
     Log::EventLine("endpoint_rejected").with("endpoint", key).with("reason", reason).info();
-    if (this->rejected_endpoints.size() > most_rejected_remembered)
+    if (this->rejected_endpoints.size() > max_rejections)
         this->rejected_endpoints.erase(this->rejected_endpoints.begin());
 }
 
@@ -267,9 +267,9 @@
 {
     // NOTE: What is missing just after a return of the store may live and be listed again.
     auto const now = monotonic_now();
-    bool const may_come_back = this->returned_at && now - *this->returned_at <= stale_list_time;
+    bool const may_be_relisted = this->store_returned_at && now - *this->store_returned_at <= stale_list_time;
     auto const* const known = this->journal.find(incarnation);
-    if (known != nullptr && !may_come_back)
+    if (known != nullptr && !may_be_relisted)
         this->departed.left(Routing::life_of(*known), now);
     if (!this->journal.remove(incarnation))
         return;
@@ -291,9 +291,9 @@
 {
     // NOTE: Where others told what the store says, only this box's own way to it was away, and no entry can have lapsed
     // for that. Taken for a return of the store it would keep endpoints in use that have left.
-    if (this->endpoints_confirmed_at && now - *this->endpoints_confirmed_at < shortest_lapse)
+    if (this->endpoints_confirmed_at && now - *this->endpoints_confirmed_at < min_expiry_time)
         return;
-    this->returned_at = now;
+    this->store_returned_at = now;
     this->state.router.store_returned(now);
 }
 
@@ -314,14 +314,14 @@
     return configuration ? configuration->version() : 0;
 }
 
-Membership::ControlQuestion ControlRecords::question(Instant now) const
+Membership::ControlQuestion ControlRecords::request(Instant now) const
 {
     return { this->relayed_source, this->relayed_source == 0 ? 0 : this->relayed_revision, this->version(),
         this->box_name, this->state.router.work_totals(now), this->failure_domain };
 }
 
 std::optional<Membership::ControlAnswer> ControlRecords::answer(
-    Membership::ControlQuestion const& question, std::size_t longest_configuration, Instant now)
+    Membership::ControlQuestion const& request, std::size_t max_configuration_bytes, Instant now)
 {
     auto const& endpoints_next = this->endpoints_position.offset;
     auto const& operator_next = this->operator_position.offset;
@@ -329,48 +329,48 @@
         return {};
     Membership::ControlAnswer answer;
     answer.source = this->source;
-    answer.endpoints = this->journal.changes_since(question.source == this->source ? question.revision : 0);
+    answer.endpoints = this->journal.changes_since(request.source == this->source ? request.revision : 0);
     answer.endpoints_age = now - *this->endpoints_confirmed_at;
     answer.endpoints_next = *endpoints_next;
     // NOTE: Until both topics were read anew this box knows the earlier history, and says so.
     answer.store_era = std::min(this->endpoints_position.era, this->operator_position.era);
-    if (auto const& risen_at = this->history.risen_at(); risen_at && answer.store_era == this->era())
-        answer.store_era_risen_ago = now - *risen_at;
+    if (auto const& era_began_at = this->history.risen_at(); era_began_at && answer.store_era == this->era())
+        answer.store_era_risen_ago = now - *era_began_at;
     answer.configuration_version = this->version();
-    if (question.configuration_version < this->version()) {
+    if (request.configuration_version < this->version()) {
         auto compressed = this->compressed_configuration();
-        if (compressed && compressed->bytes().size() <= longest_configuration)
+        if (compressed && compressed->bytes().size() <= max_configuration_bytes)
             answer.configuration = std::move(*compressed);
         if (auto const since = this->state.router.configuration_known_since())
             answer.configuration_known_for = now - *since;
     }
     answer.configuration_age = this->state.router.configuration_age(now);
     answer.configuration_next = *operator_next;
-    if (this->returned_at)
-        answer.store_returned_ago = now - *this->returned_at;
-    if (auto const news = this->leader_news.own ? this->leader_news.own(now) : std::nullopt) {
-        answer.leader_news = news->bytes;
-        answer.leader_news_age = now - news->told_at;
+    if (this->store_returned_at)
+        answer.store_returned_ago = now - *this->store_returned_at;
+    if (auto const announcement = this->announcement_relay.own ? this->announcement_relay.own(now) : std::nullopt) {
+        answer.leader_news = announcement->bytes;
+        answer.leader_news_age = now - announcement->sent_at;
     }
-    if (question.asker_domain.empty() || question.asker_domain == this->failure_domain)
-        this->demand_of_askers.take(question.asker, question.work, now);
+    if (request.asker_domain.empty() || request.asker_domain == this->failure_domain)
+        this->demand_of_askers.take(request.asker, request.work, now);
     this->state.router.take_totals_of_others(this->demand_of_askers.totals(now), now);
     answer.answer_shares = this->state.router.answer_shares(now);
     return answer;
 }
 
-bool ControlRecords::take_relayed(
+bool ControlRecords::apply_relayed(
     Membership::ControlAnswer const& answer, std::string const& relay_domain, Instant asked_at)
 {
-    if (this->leader_news.take && !answer.leader_news.empty())
-        this->leader_news.take({ answer.leader_news, asked_at - answer.leader_news_age });
-    // NOTE: The relay measured the ages after the question was sent, so these moments are never too late.
-    auto const endpoints_vouched_at = asked_at - answer.endpoints_age;
-    auto const configuration_vouched_at = asked_at - answer.configuration_age;
+    if (this->announcement_relay.apply && !answer.leader_news.empty())
+        this->announcement_relay.apply({ answer.leader_news, asked_at - answer.leader_news_age });
+    // NOTE: The relay measured the ages after the request was sent, so these moments are never too late.
+    auto const relayed_endpoints_confirmed_at = asked_at - answer.endpoints_age;
+    auto const relayed_configuration_confirmed_at = asked_at - answer.configuration_age;
     if (answer.store_returned_ago) {
         auto const moment = asked_at - *answer.store_returned_ago;
         constexpr auto same_return = std::chrono::milliseconds(500);
-        if (!this->returned_at || moment > *this->returned_at + same_return)
+        if (!this->store_returned_at || moment > *this->store_returned_at + same_return)
             this->store_returned(moment);
     }
     // NOTE: Each failure domain divides the engines by its own demand. One division for all comes too late in bursts,
@@ -378,47 +378,47 @@
     if (relay_domain == this->failure_domain)
         this->state.router.take_answer_shares(answer.answer_shares, asked_at);
     // NOTE: What this box read itself a moment ago may be newer than what the relay knows.
-    if (!this->endpoints_confirmed_at || endpoints_vouched_at >= *this->endpoints_confirmed_at)
-        this->take_relayed_endpoints(answer, endpoints_vouched_at);
+    if (!this->endpoints_confirmed_at || relayed_endpoints_confirmed_at >= *this->endpoints_confirmed_at)
+        this->apply_relayed_endpoints(answer, relayed_endpoints_confirmed_at);
     this->state.router.note_configuration(answer.configuration_version, asked_at,
         asked_at - answer.configuration_known_for.value_or(Core::Duration { 0 }));
     if (answer.configuration_version > this->version() && answer.configuration)
-        this->take_relayed_configuration(*answer.configuration, configuration_vouched_at);
+        this->apply_relayed_configuration(*answer.configuration, relayed_configuration_confirmed_at);
     if (answer.configuration_version != this->version())
         return answer.configuration_version < this->version();
-    this->confirm_configuration(configuration_vouched_at);
+    this->confirm_configuration(relayed_configuration_confirmed_at);
     this->set_next(Adapter::Topic::Operator,
         std::max(this->next(Adapter::Topic::Operator).value_or(0), answer.configuration_next));
     return true;
 }
 
-Membership::StoreKnowledge ControlRecords::knowledge(Instant now) const
+Membership::StoreKnowledge ControlRecords::store_versions(Instant now) const
 {
-    auto const& risen_at = this->history.risen_at();
+    auto const& era_began_at = this->history.risen_at();
     auto const known_since = this->state.router.configuration_known_since();
-    return { this->version(), this->era(), risen_at ? std::optional(now - *risen_at) : std::nullopt,
+    return { this->version(), this->era(), era_began_at ? std::optional(now - *era_began_at) : std::nullopt,
         known_since ? std::optional(now - *known_since) : std::nullopt };
 }
 
-void ControlRecords::take_knowledge(Membership::StoreKnowledge const& told, Instant told_at)
+void ControlRecords::apply_store_versions(Membership::StoreKnowledge const& reported, Instant sent_at)
 {
-    bool const is_of_copy = told.store_era != 0 && told.store_era == this->era() && told.era_risen_ago;
+    bool const is_of_copy = reported.store_era != 0 && reported.store_era == this->era() && reported.era_risen_ago;
     if (is_of_copy)
-        static_cast<void>(this->hear_era(told.store_era, told_at - *told.era_risen_ago, told_at));
-    // NOTE: Only what the store may have lost: a box that starts can't tell from its first reading. A box learns all
+        static_cast<void>(this->observe_era(reported.store_era, sent_at - *reported.era_risen_ago, sent_at));
+    // NOTE: Only what the store may have lost: a box that starts can't tell from its first read. A box learns all
     // else from the store or its relay.
-    bool const has_started = monotonic_now() - this->started_at > start_time;
-    if ((has_started && !is_of_copy) || told.configuration_version <= this->version())
+    bool const has_started = monotonic_now() - this->started_at > startup_window;
+    if ((has_started && !is_of_copy) || reported.configuration_version <= this->version())
         return;
-    this->version_told = std::max(this->version_told, told.configuration_version);
-    auto const known_for = told.configuration_known_for.value_or(Core::Duration { 0 });
+    this->version_reported = std::max(this->version_reported, reported.configuration_version);
+    auto const known_for = reported.configuration_known_for.value_or(Core::Duration { 0 });
     if (known_for > this->apply_within)
-        this->state.router.note_due_configuration(told.configuration_version, told_at);
+        this->state.router.note_due_configuration(reported.configuration_version, sent_at);
     else
-        this->state.router.note_configuration(told.configuration_version, told_at, told_at - known_for);
+        this->state.router.note_configuration(reported.configuration_version, sent_at, sent_at - known_for);
 }
 
-void ControlRecords::take_relayed_endpoints(Membership::ControlAnswer const& answer, Instant vouched_at)
+void ControlRecords::apply_relayed_endpoints(Membership::ControlAnswer const& answer, Instant confirmed_at)
 {
     if (answer.endpoints.is_whole) {
         std::vector<Routing::EndpointRecord> records;
@@ -437,7 +437,7 @@
     }
     this->relayed_source = answer.source;
     this->relayed_revision = answer.endpoints.revision;
-    this->confirm_endpoints(vouched_at);
+    this->confirm_endpoints(confirmed_at);
     this->set_next(Adapter::Topic::Endpoints, answer.endpoints_next);
     this->state.metrics.set_endpoints(this->state.router.endpoint_count());
 }
--- a/Libraries/LibGateway/CrashNews.cpp
+++ b/Libraries/LibGateway/CrashExchange.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CrashNews.h>
+#include <LibGateway/CrashExchange.h>
 
 #include <LibLog/EventLog.h>
 
@@ -12,86 +12,86 @@
 
 namespace {
 
-void log_crash(std::string_view event, Routing::CrashReport const& report, Routing::CrashVerdict const& verdict)
+void log_crash(std::string_view event, Routing::CrashReport const& report, Routing::CrashVerdict const& status)
 {
     Log::EventLine line(event);
     line.with("fingerprint", Routing::to_string(report.request))
         .with("endpoint", report.endpoint.incarnation)
         .with("endpoint_started_at_ms", report.endpoint.started_at)
         .with("known_when_run_began", report.count - 1)
-        .with("crashes", verdict.crashes);
-    if (verdict.refused_for)
-        line.with("refused_for_s", Core::to_seconds(*verdict.refused_for));
+        .with("crashes", status.crashes);
+    if (status.refused_for)
+        line.with("refused_for_s", Core::to_seconds(*status.refused_for));
     line.warning();
 }
 
 }
 
-void CrashNews::set_ways(Tell to_boxes, Keep to_store)
+void CrashExchange::set_transport(SendToBoxes to_boxes, WriteToStore to_store)
 {
     this->to_boxes = std::move(to_boxes);
     this->to_store = std::move(to_store);
 }
 
-Routing::CrashVerdict CrashNews::verdict(Routing::RequestFingerprint request) const
+Routing::CrashVerdict CrashExchange::status(Routing::RequestFingerprint request) const
 {
-    auto verdict = this->ledger.verdict(request, monotonic_now());
-    verdict.is_probed |= this->own_probes.contains(request);
-    return verdict;
+    auto status = this->ledger.verdict(request, monotonic_now());
+    status.is_probed |= this->own_probes.contains(request);
+    return status;
 }
 
-void CrashNews::probe_began(Routing::RequestFingerprint request)
+void CrashExchange::probe_began(Routing::RequestFingerprint request)
 {
     this->own_probes.insert(request);
-    this->announce(Probing { request });
+    this->enqueue(Probing { request });
 }
 
-void CrashNews::probe_ended(Routing::RequestFingerprint request)
+void CrashExchange::probe_ended(Routing::RequestFingerprint request)
 {
     this->own_probes.erase(request);
-    std::erase_if(this->pending, [request](auto const& waiting) {
-        auto const* const probing = std::get_if<Probing>(&waiting.news);
+    std::erase_if(this->pending, [request](auto const& entry) {
+        auto const* const probing = std::get_if<Probing>(&entry.update);
         return probing != nullptr && probing->request == request;
     });
-    this->announce(ProbeOver { request });
+    this->enqueue(ProbeEnded { request });
 }
 
-std::size_t CrashNews::refused_count() const
+std::size_t CrashExchange::refused_count() const
 {
     return this->ledger.refused(monotonic_now()).size();
 }
 
-void CrashNews::crashed(Routing::CrashReport const& report)
+void CrashExchange::report_crash(Routing::CrashReport const& report)
 {
     auto const now = monotonic_now();
     if (this->ledger.take(report, Core::Duration { 0 }, now) != CrashLedger::Taken::New)
         return;
     this->metrics.count_crash_report("noted");
-    auto const verdict = this->ledger.verdict(report.request, now);
-    log_crash("crash_noted", report, verdict);
-    this->announce(Crashed { report, now });
+    auto const status = this->ledger.verdict(report.request, now);
+    log_crash("crash_noted", report, status);
+    this->enqueue(Crashed { report, now });
     // NOTE: Only the box that saw the last crash writes it: one call to the store for a refused request.
-    if (verdict.refused_for && this->to_store)
+    if (status.refused_for && this->to_store)
         this->to_store(Membership::crash_key(report.request),
-            Membership::encode_record({ { report.request, report.endpoint, verdict.crashes }, Core::Duration { 0 } },
+            Membership::encode_record({ { report.request, report.endpoint, status.crashes }, Core::Duration { 0 } },
                 Core::wall_clock_milliseconds()));
 }
 
-void CrashNews::ran_well(Routing::RequestFingerprint request)
+void CrashExchange::report_success(Routing::RequestFingerprint request)
 {
-    auto const verdict = this->ledger.verdict(request, monotonic_now());
+    auto const status = this->ledger.verdict(request, monotonic_now());
     if (!this->ledger.clear(request, monotonic_now()))
         return;
-    this->clear(request, "own", verdict.crashes);
-    if (verdict.refused_for && this->to_store)
+    this->note_cleared(request, "own", status.crashes);
+    if (status.refused_for && this->to_store)
         this->to_store(Membership::crash_key(request), std::nullopt);
-    this->announce(Cleared { request });
+    this->enqueue(Cleared { request });
 }
 
-void CrashNews::clear(Routing::RequestFingerprint request, std::string_view from, unsigned crashes)
+void CrashExchange::note_cleared(Routing::RequestFingerprint request, std::string_view from, unsigned crashes)
 {
-    std::erase_if(this->pending, [request](auto const& waiting) {
-        auto const* const crash = std::get_if<Crashed>(&waiting.news);
+    std::erase_if(this->pending, [request](auto const& entry) {
+        auto const* const crash = std::get_if<Crashed>(&entry.update);
         return crash != nullptr && crash->report.request == request;
     });
     this->metrics.count_crash_report("cleared");
@@ -103,7 +103,7 @@
             .info();
 }
 
-void CrashNews::answered(Routing::EndpointLife const& endpoint, Routing::AnswerEvidence const& evidence)
+void CrashExchange::endpoint_answered(Routing::EndpointLife const& endpoint, Routing::AnswerEvidence const& evidence)
 {
     if (!this->ledger.endpoint_answered(endpoint, evidence))
         return;
@@ -113,43 +113,43 @@
         .with("connection_opened_ms_ago", Core::to_milliseconds(now - evidence.connected_at))
         .with("sent_ms_ago", Core::to_milliseconds(now - evidence.sent_at))
         .info();
-    this->take_back(endpoint, "own");
-    this->announce(Answering { endpoint });
+    this->note_retracted(endpoint, "own");
+    this->enqueue(Answering { endpoint });
 }
 
-void CrashNews::take_back(Routing::EndpointLife const& endpoint, std::string_view from)
+void CrashExchange::note_retracted(Routing::EndpointLife const& endpoint, std::string_view from)
 {
-    std::erase_if(this->pending, [&endpoint](auto const& waiting) {
-        auto const* const crash = std::get_if<Crashed>(&waiting.news);
+    std::erase_if(this->pending, [&endpoint](auto const& entry) {
+        auto const* const crash = std::get_if<Crashed>(&entry.update);
         return crash != nullptr && crash->report.endpoint == endpoint;
     });
     this->metrics.count_crash_report("taken-back");
     Log::EventLine("crash_taken_back").with("endpoint", endpoint.incarnation).with("told_by", from).info();
 }
 
-void CrashNews::hear(CrashMessage const& message)
+void CrashExchange::receive(CrashMessage const& message)
 {
     auto const now = monotonic_now();
     for (auto const& [report, age] : message.crashes) {
         auto const taken = this->ledger.take(report, age, now);
         if (taken == CrashLedger::Taken::Cleared)
-            this->announce(Cleared { report.request });
+            this->enqueue(Cleared { report.request });
         if (taken != CrashLedger::Taken::New)
             continue;
         this->metrics.count_crash_report("heard");
         // NOTE: First crashes are nearly all of bystanders; the box that saw one has logged it.
-        if (auto const verdict = this->ledger.verdict(report.request, now); verdict.crashes > 1)
-            log_crash("crash_heard", report, verdict);
+        if (auto const status = this->ledger.verdict(report.request, now); status.crashes > 1)
+            log_crash("crash_heard", report, status);
         this->pause.end();
     }
     for (auto const& request : message.cleared) {
         auto const crashes = this->ledger.verdict(request, now).crashes;
         if (this->ledger.clear(request, now))
-            this->clear(request, "box", crashes);
+            this->note_cleared(request, "box", crashes);
     }
     for (auto const& endpoint : message.answering) {
         if (this->ledger.take_back(endpoint))
-            this->take_back(endpoint, "box");
+            this->note_retracted(endpoint, "box");
     }
     for (auto const& request : message.probed)
         this->ledger.probe_goes_on(request, now);
@@ -157,7 +157,7 @@
         this->ledger.probe_ended(request);
 }
 
-void CrashNews::take_stored(std::string const& key, std::string const& value)
+void CrashExchange::apply_stored(std::string const& key, std::string const& value)
 {
     auto const crash = Membership::decode_record(value, Core::wall_clock_milliseconds());
     if (!crash || Membership::crash_key(crash->report.request) != key) {
@@ -177,46 +177,47 @@
     this->pause.end();
 }
 
-void CrashNews::announce(News news)
+void CrashExchange::enqueue(Update update)
 {
     if (!this->to_boxes)
         return;
     // NOTE: Until the others know of a probe they may begin one of their own.
-    bool const is_urgent = std::holds_alternative<Probing>(news);
-    this->pending.push_back({ std::move(news), 0, monotonic_now() + (is_urgent ? Core::Duration { 0 } : gathering) });
+    bool const is_urgent = std::holds_alternative<Probing>(update);
+    this->pending.push_back(
+        { std::move(update), 0, monotonic_now() + (is_urgent ? Core::Duration { 0 } : batching_delay) });
     this->pause.end();
 }
 
-std::optional<Core::Duration> CrashNews::time_until_told_again(Pending& waiting)
+std::optional<Core::Duration> CrashExchange::next_resend_delay(Pending& entry)
 {
-    if (std::holds_alternative<Probing>(waiting.news))
+    if (std::holds_alternative<Probing>(entry.update))
         return probe_interval;
-    if (std::holds_alternative<ProbeOver>(waiting.news) || waiting.times_told == told_again.size())
+    if (std::holds_alternative<ProbeEnded>(entry.update) || entry.times_sent == resend_delays.size())
         return {};
-    return told_again.at(waiting.times_told++);
+    return resend_delays.at(entry.times_sent++);
 }
 
-Task<void> CrashNews::run()
+Task<void> CrashExchange::run()
 {
     for (;;) {
         auto const now = monotonic_now();
-        this->tell_due(now);
-        if (now - this->refused_told_at >= refused_interval)
-            this->tell_refused(now);
+        this->send_due(now);
+        if (now - this->refused_sent_at >= refused_interval)
+            this->send_refused(now);
         this->ledger.expire(now);
-        co_await this->pause.wait(this->time_to_next(now));
+        co_await this->pause.wait(this->time_until_next_send(now));
     }
 }
 
-Core::Duration CrashNews::time_to_next(Instant now) const
+Core::Duration CrashExchange::time_until_next_send(Instant now) const
 {
     auto next = now + (this->ledger.refused(now).empty() ? idle_interval : refused_interval);
-    for (auto const& waiting : this->pending)
-        next = std::min(next, waiting.due);
+    for (auto const& entry : this->pending)
+        next = std::min(next, entry.due);
     return std::max(next - now, Core::Duration { 0 });
 }
 
-void CrashNews::tell_due(Instant now)
+void CrashExchange::send_due(Instant now)
 {
     /// Adds a piece of news to a message.
     struct AddTo {
@@ -230,7 +231,7 @@
         void operator()(Cleared const& cleared) const { this->message.cleared.push_back(cleared.request); }
         void operator()(Answering const& answering) const { this->message.answering.push_back(answering.endpoint); }
         void operator()(Probing const& probing) const { this->message.probed.push_back(probing.request); }
-        void operator()(ProbeOver const& over) const { this->message.probes_ended.push_back(over.request); }
+        void operator()(ProbeEnded const& ended) const { this->message.probes_ended.push_back(ended.request); }
     };
     CrashMessage message;
     std::size_t count = 0;
@@ -239,8 +240,8 @@
         if (current->due > now || count >= most_news_in_message)
             continue;
         ++count;
-        std::visit(AddTo { message, now }, current->news);
-        if (auto const pause = time_until_told_again(*current))
+        std::visit(AddTo { message, now }, current->update);
+        if (auto const pause = next_resend_delay(*current))
             current->due = now + *pause;
         else
             this->pending.erase(current);
@@ -249,9 +250,9 @@
         this->to_boxes(Membership::encode(message), Audience::AllBoxes);
 }
 
-void CrashNews::tell_refused(Instant now)
+void CrashExchange::send_refused(Instant now)
 {
-    this->refused_told_at = now;
+    this->refused_sent_at = now;
     auto const refused = this->ledger.refused(now);
     if (refused.empty() || !this->to_boxes)
         return;
--- a/Libraries/LibGateway/EndpointNews.cpp
+++ b/Libraries/LibGateway/EndpointNoticeExchange.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/EndpointNews.h>
+#include <LibGateway/EndpointNoticeExchange.h>
 
 #include <LibLog/EventLog.h>
 #include <fmt/format.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-void log_change(Routing::EndpointNotice const& notice, std::string_view told_by)
+void log_change(Routing::EndpointNotice const& notice, std::string_view origin)
 {
     auto const& [limit, is_draining] = notice.condition;
     Log::EventLine("endpoint_notice")
@@ -19,12 +19,12 @@
         .with("version", notice.version)
         .with("limit_per_s", limit.per_second ? fmt::format("{}", *limit.per_second) : "none")
         .with("draining", is_draining ? "yes" : "no")
-        .with("told_by", told_by)
+        .with("told_by", origin)
         .info();
 }
 
 /// Calls `send` with messages that hold all of the notices.
-template <typename Send> void in_messages(std::vector<Routing::EndpointNotice> const& notices, Send send)
+template <typename Send> void send_in_messages(std::vector<Routing::EndpointNotice> const& notices, Send send)
 {
     for (std::size_t first = 0; first < notices.size(); first += most_notices_in_message) {
         auto const end = std::min(first + most_notices_in_message, notices.size());
@@ -37,48 +37,48 @@
 
 }
 
-void EndpointNews::ask() const
+void EndpointNoticeExchange::request_notices() const
 {
     if (this->to_boxes)
         this->to_boxes(Membership::encode({ {}, true }, monotonic_now()), some_boxes);
 }
 
-Task<void> EndpointNews::run()
+Task<void> EndpointNoticeExchange::run()
 {
     for (;;) {
-        co_await sleep_for(telling_interval);
-        this->tell_some();
+        co_await sleep_for(send_interval);
+        this->send_some();
     }
 }
 
-void EndpointNews::tell_some()
+void EndpointNoticeExchange::send_some()
 {
     auto const notices = this->router.notices_worth_telling(monotonic_now());
     if (notices.empty() || !this->to_boxes)
         return;
     EndpointNewsMessage message;
     for (std::size_t number = 0; number < std::min(notices.size(), most_notices_in_message); ++number)
-        message.notices.push_back(notices[this->next_told++ % notices.size()]);
+        message.notices.push_back(notices[this->next_sent++ % notices.size()]);
     this->to_boxes(Membership::encode(message, monotonic_now()), some_boxes);
 }
 
-void EndpointNews::answered(
+void EndpointNoticeExchange::endpoint_answered(
     Routing::Placed const& placed, Routing::RequestRouter::SelfReport const& report, Core::Instant sent_at)
 {
-    auto const news = this->router.note_answer(placed, report, sent_at, monotonic_now());
-    if (news.backoff_began)
+    auto const change = this->router.note_answer(placed, report, sent_at, monotonic_now());
+    if (change.backoff_began)
         Log::EventLine("endpoint_backoff")
             .with("endpoint", placed.endpoint.incarnation)
             .with("backoff_s", Core::to_seconds(*report.backoff))
             .info();
-    if (!news.notice)
+    if (!change.notice)
         return;
-    log_change(*news.notice, "own");
+    log_change(*change.notice, "own");
     if (this->to_boxes)
-        this->to_boxes(Membership::encode({ { *news.notice }, false }, monotonic_now()), all_boxes);
+        this->to_boxes(Membership::encode({ { *change.notice }, false }, monotonic_now()), all_boxes);
 }
 
-void EndpointNews::hear(EndpointNewsMessage const& message, Reply const& reply)
+void EndpointNoticeExchange::receive(EndpointNewsMessage const& message, Reply const& reply)
 {
     auto const now = monotonic_now();
     for (auto const& notice : message.notices) {
@@ -86,7 +86,7 @@
             log_change(notice, "box");
     }
     if (message.asks)
-        in_messages(this->router.notices_worth_telling(now), reply);
+        send_in_messages(this->router.notices_worth_telling(now), reply);
 }
 
 }
--- a/Libraries/LibGateway/ExchangeRetries.cpp
+++ b/Libraries/LibGateway/ExchangeRetries.cpp
@@ -73,7 +73,7 @@
     this->log_break(attempt, finding);
     bool const has_crashed = was_in_use && finding == EndpointFinding::Refuses;
     if (has_crashed)
-        this->state.crash_news.crashed(
+        this->state.crash_news.report_crash(
             { this->fingerprint, Routing::life_of(placed.endpoint), attempt.known_crashes + 1 });
     co_return has_crashed;
 }
@@ -124,12 +124,12 @@
     if (has_run)
         this->count_begun(attempt.started);
     if (attempt.status != 0)
-        this->state.crash_news.answered(
+        this->state.crash_news.endpoint_answered(
             Routing::life_of(attempt.placed.endpoint), { attempt.connection_opened, attempt.started });
     bool const ended_well
         = end == AttemptEnd::Delivered && attempt.status >= status_ok && attempt.status < first_no_success;
     if (ended_well)
-        this->state.crash_news.ran_well(this->fingerprint);
+        this->state.crash_news.report_success(this->fingerprint);
 }
 
 void RequestExchange::count_begun(Core::Instant at)
--- a/Libraries/LibGateway/FleetOperator.cpp
+++ b/Libraries/LibGateway/FleetOperator.cpp
@@ -28,7 +28,7 @@
 Task<void> FleetOperator::run()
 {
     for (;;) {
-        co_await sleep_for(tick);
+        co_await sleep_for(check_interval);
         auto const configuration = this->state.router.configuration();
         if (!configuration || !co_await this->leadership.may_act())
             continue;
@@ -66,11 +66,11 @@
     for (auto const& order : plan.orders_due(*service.scaling, running, now)) {
         if (!co_await this->leadership.may_act() || this->leadership.identity().fencing_token != this->term)
             co_return;
-        co_await this->give(service, order, running);
+        co_await this->place_order(service, order, running);
     }
 }
 
-Task<void> FleetOperator::give(
+Task<void> FleetOperator::place_order(
     Routing::Service const& service, Leader::ServerOrder const& order, Leader::Fleet const& running)
 {
     bool const is_revocable = order.kind == Leader::ServerKind::Revocable;
@@ -100,11 +100,11 @@
             is_accepted  ? "accepted"
                 : answer ? "status " + std::to_string(answer->status)
                          : reason.text)
-        .with("answer", answer && !is_accepted ? answer->body.substr(0, longest_answer_logged) : "")
+        .with("answer", answer && !is_accepted ? answer->body.substr(0, max_logged_answer_bytes) : "")
         .info();
     // NOTE: A conflict says that there are no servers to be had, or that another box leads; the log knows which.
     if (answer && Adapter::says_conflict(answer->status))
-        co_await this->leadership.look_who_leads();
+        co_await this->leadership.check_leader();
 }
 
 }
--- a/Libraries/LibGateway/FleetOperator.h
+++ b/Libraries/LibGateway/FleetOperator.h
@@ -17,21 +17,21 @@
 
 private:
     [[nodiscard]] Task<void> order_for(Routing::Service const& service);
-    [[nodiscard]] Task<void> give(
+    [[nodiscard]] Task<void> place_order(
         Routing::Service const& service, Leader::ServerOrder const& order, Leader::Fleet const& running);
     [[nodiscard]] Leader::Fleet running(std::string const& service, Core::Instant now) const;
 
     /// Demand is looked at and orders are given this often.
-    static constexpr Core::Duration tick { std::chrono::milliseconds(500) };
+    static constexpr Core::Duration check_interval { std::chrono::milliseconds(500) };
     /// Of an answer that refuses an order.
-    static constexpr std::size_t longest_answer_logged = 120;
+    static constexpr std::size_t max_logged_answer_bytes = 120;
     static constexpr CallTimeouts timeouts { std::chrono::milliseconds(1500), std::chrono::milliseconds(1000) };
 
     GatewayState& state;
     Leadership& leadership;
     Adapter::LeaderSettings settings;
     Leader::FleetPolicy policy;
-    StoreConnection connection;
+    HttpConnection connection;
     /// By service.
     std::map<std::string, Leader::FleetPlan> plans;
     /// The term that the orders are of, by its token.
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -169,7 +169,7 @@
 {
     auto const now = monotonic_now();
     this->state.router.woke(now);
-    this->control.woke(now);
+    this->control.after_suspension(now);
     this->state.connections.close_old(now);
     std::size_t expired = 0;
     for (auto const& weak : this->clients) {
@@ -220,7 +220,7 @@
             break;
         co_await sleep_for(std::chrono::milliseconds(50));
     }
-    this->control.ending();
+    this->control.prepare_exit();
     this->context.stop();
 }
 
@@ -229,7 +229,7 @@
     auto const trust = this->state.router.trust(monotonic_now());
     bool const knows_configuration = trust == ConfigurationTrust::Fresh || trust == ConfigurationTrust::Aging;
     return !this->state.is_stopping && !this->state.awaits_other_boxes && knows_configuration
-        && this->control.knows_endpoints();
+        && this->control.has_endpoints();
 }
 
 ProbeAnswer Gateway::answer_readiness(std::string_view path)
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <LibCore/SuspensionMeter.h>
-#include <LibGateway/CrashNews.h>
+#include <LibGateway/CrashExchange.h>
 #include <LibGateway/EndpointConnections.h>
-#include <LibGateway/EndpointNews.h>
+#include <LibGateway/EndpointNoticeExchange.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibLeader/SharedClock.h>
 #include <LibLeader/UsageCounts.h>
@@ -49,8 +49,8 @@
     Routing::RequestRouter router;
     EndpointConnections connections;
     GatewayMetrics metrics;
-    CrashNews crash_news;
-    EndpointNews endpoint_news;
+    CrashExchange crash_news;
+    EndpointNoticeExchange endpoint_news;
     Leader::SharedClock clock;
     /// What is reported to the platform, by windows of this length; 0 where nothing is.
     Leader::UsageCounts usage;
--- a/Libraries/LibGateway/StoreConnection.cpp
+++ b/Libraries/LibGateway/HttpConnection.cpp
@@ -1,11 +1,11 @@
-#include <LibGateway/StoreConnection.h>
+#include <LibGateway/HttpConnection.h>
 
 #include <fmt/format.h>
 #include <platform/RequestCodec.h>
 
 namespace Gateway {
 
-Task<std::optional<StoreAnswer>> StoreConnection::get(
+Task<std::optional<HttpAnswer>> HttpConnection::get(
     std::string const& target, CallTimeouts timeouts, Core::LastReason& last_reason)
 {
     auto const request
@@ -13,7 +13,7 @@
     co_return co_await this->call_within(request, timeouts, last_reason);
 }
 
-Task<std::optional<StoreAnswer>> StoreConnection::post(std::string const& target, std::string const& body,
+Task<std::optional<HttpAnswer>> HttpConnection::post(std::string const& target, std::string const& body,
     CallTimeouts timeouts, Core::LastReason& last_reason, std::string const& headers)
 {
     auto const request = fmt::format("POST {} HTTP/1.1\r\nHost: {}:{}\r\n{}Content-Length: {}\r\n\r\n{}", target,
@@ -21,12 +21,12 @@
     co_return co_await this->call_within(request, timeouts, last_reason);
 }
 
-Task<std::optional<StoreAnswer>> StoreConnection::call_within(
+Task<std::optional<HttpAnswer>> HttpConnection::call_within(
     std::string const& request, CallTimeouts timeouts, Core::LastReason& last_reason)
 {
     auto const watch = std::make_shared<CallWatch>(this->context, timeouts, [this] { this->abort(); });
     watch->start();
-    StoreAnswer answer;
+    HttpAnswer answer;
     auto const error = co_await this->call(request, *watch, answer);
     watch->finish();
     if (!error)
@@ -37,7 +37,7 @@
     co_return std::nullopt;
 }
 
-std::string StoreConnection::failure_text(error_code error, CallWatch const& watch) const
+std::string HttpConnection::failure_text(error_code error, CallWatch const& watch) const
 {
     auto const what = watch.has_timed_out() ? std::string("no answer in time") : error.message();
     auto const milliseconds = Core::to_milliseconds(watch.taken());
@@ -48,7 +48,7 @@
         this->progress.received_bytes, milliseconds, body);
 }
 
-void StoreConnection::abort()
+void HttpConnection::abort()
 {
     if (!this->socket)
         return;
@@ -56,24 +56,24 @@
     this->socket->close(ignored);
 }
 
-Task<error_code> StoreConnection::connect()
+Task<error_code> HttpConnection::connect()
 {
     this->socket = std::make_shared<tcp::socket>(this->context);
     this->buffer.clear();
     auto const place = to_socket_address(this->address);
     if (!place)
         co_return asio::error::invalid_argument;
-    auto const kept = this->socket;
+    auto const open_socket = this->socket;
     this->connected_to = this->address;
-    auto const [error] = co_await kept->async_connect(*place, as_value);
+    auto const [error] = co_await open_socket->async_connect(*place, as_value);
     if (error)
         co_return error;
     error_code ignored;
-    kept->set_option(tcp::no_delay(true), ignored);
+    open_socket->set_option(tcp::no_delay(true), ignored);
     co_return error_code {};
 }
 
-Task<error_code> StoreConnection::call(std::string const& request, CallWatch& watch, StoreAnswer& answer)
+Task<error_code> HttpConnection::call(std::string const& request, CallWatch& watch, HttpAnswer& answer)
 {
     this->progress = {};
     if (this->connected_to != this->address)
@@ -82,20 +82,20 @@
         if (auto const error = co_await this->connect())
             co_return error;
     }
-    auto const kept = this->socket;
-    auto const [write_error, written] = co_await asio::async_write(*kept, asio::buffer(request), as_value);
+    auto const open_socket = this->socket;
+    auto const [write_error, written] = co_await asio::async_write(*open_socket, asio::buffer(request), as_value);
     if (write_error)
         co_return write_error;
-    co_return co_await this->read_answer(*kept, watch, answer);
+    co_return co_await this->read_answer(*open_socket, watch, answer);
 }
 
-Task<error_code> StoreConnection::read_answer(tcp::socket& kept, CallWatch& watch, StoreAnswer& answer)
+Task<error_code> HttpConnection::read_answer(tcp::socket& open_socket, CallWatch& watch, HttpAnswer& answer)
 {
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largest_answer);
+    parser.body_limit(max_answer_bytes);
     parser.eager(true);
     while (!parser.is_done()) {
-        auto const [error, read] = co_await http::async_read_some(kept, this->buffer, parser, as_value);
+        auto const [error, read] = co_await http::async_read_some(open_socket, this->buffer, parser, as_value);
         if (error)
             co_return error;
         this->progress.received_bytes += read;
@@ -105,9 +105,9 @@
     }
     answer.status = parser.get().result_int();
     answer.era = Adapter::decode_store_era(parser.get().base());
-    bool const keeps_connection = parser.get().keep_alive() && this->buffer.size() == 0;
+    bool const is_kept_open = parser.get().keep_alive() && this->buffer.size() == 0;
     answer.body = std::move(parser.get().body());
-    if (!keeps_connection)
+    if (!is_kept_open)
         this->abort();
     co_return error_code {};
 }
--- a/Libraries/LibGateway/StoreConnection.h
+++ b/Libraries/LibGateway/HttpConnection.h
@@ -4,13 +4,13 @@
 
 namespace Gateway {
 
-struct StoreAnswer {
+struct HttpAnswer {
     unsigned status { 0 };
     std::string body;
     /// Which history of the store it is of; 0 if the answer doesn't say.
     std::uint64_t era { 0 };
 
-    bool operator==(StoreAnswer const&) const = default;
+    bool operator==(HttpAnswer const&) const = default;
 };
 
 /// How far the answer to a call has come.
@@ -23,20 +23,20 @@
     bool operator==(AnswerProgress const&) const = default;
 };
 
-/// Calls the platform, its store, or another box, over one kept connection, one call at a time.
-class StoreConnection {
+/// Calls the platform, its store, or another box, over one open_socket connection, one call at a time.
+class HttpConnection {
 public:
-    StoreConnection(asio::io_context& context, Routing::SocketAddress address)
+    HttpConnection(asio::io_context& context, Routing::SocketAddress address)
         : context(context)
         , address(std::move(address))
     {
     }
 
     /// Any answer, or nothing with the reason.
-    [[nodiscard]] Task<std::optional<StoreAnswer>> get(
+    [[nodiscard]] Task<std::optional<HttpAnswer>> get(
         std::string const& target, CallTimeouts timeouts, Core::LastReason& last_reason);
     /// `headers` are those that the body needs, each with its line end.
-    [[nodiscard]] Task<std::optional<StoreAnswer>> post(std::string const& target, std::string const& body,
+    [[nodiscard]] Task<std::optional<HttpAnswer>> post(std::string const& target, std::string const& body,
         CallTimeouts timeouts, Core::LastReason& last_reason,
         std::string const& headers = "Content-Type: application/octet-stream\r\n");
     /// How far the answer to the last call has come.
@@ -47,14 +47,14 @@
 
 private:
     [[nodiscard]] Task<error_code> connect();
-    [[nodiscard]] Task<std::optional<StoreAnswer>> call_within(
+    [[nodiscard]] Task<std::optional<HttpAnswer>> call_within(
         std::string const& request, CallTimeouts timeouts, Core::LastReason& last_reason);
-    [[nodiscard]] Task<error_code> call(std::string const& request, CallWatch& watch, StoreAnswer& answer);
-    [[nodiscard]] Task<error_code> read_answer(tcp::socket& kept, CallWatch& watch, StoreAnswer& answer);
+    [[nodiscard]] Task<error_code> call(std::string const& request, CallWatch& watch, HttpAnswer& answer);
+    [[nodiscard]] Task<error_code> read_answer(tcp::socket& open_socket, CallWatch& watch, HttpAnswer& answer);
     [[nodiscard]] std::string failure_text(error_code error, CallWatch const& watch) const;
 
     /// A configuration with thousands of routes takes about half a megabyte.
-    static constexpr std::uint64_t largest_answer = 16 * 1024 * 1024;
+    static constexpr std::uint64_t max_answer_bytes = 16 * 1024 * 1024;
 
     asio::io_context& context;
     Routing::SocketAddress address;
--- a/Libraries/LibGateway/Leadership.cpp
+++ b/Libraries/LibGateway/Leadership.cpp
@@ -13,59 +13,59 @@
 using Leader::LeaderLog;
 
 Leadership::Leadership(GatewayState& state, Membership::BoxDirectory const& boxes, Membership::BoxRecord own,
-    std::uint64_t process, Routing::SocketAddress store, Core::Duration lease, bool is_first_start, Ways ways)
+    std::uint64_t process, Routing::SocketAddress store, Core::Duration lease, bool is_first_start, Transport transport)
     : state(state)
     , boxes(boxes)
     , box_name(std::move(own.name))
     , own_address(std::move(own.address))
     , process(process)
     , connection(state.context, std::move(store))
-    , ways(std::move(ways))
+    , transport(std::move(transport))
     , election(lease)
-    , ticked_at(monotonic_now())
+    , checked_at(monotonic_now())
     , lease(lease)
 {
-    this->election.started(this->ticked_at, is_first_start);
+    this->election.started(this->checked_at, is_first_start);
 }
 
 Task<void> Leadership::acquire()
 {
-    constexpr Core::Duration look_again_after { std::chrono::milliseconds(5) };
+    constexpr Core::Duration retry_after { std::chrono::milliseconds(5) };
     while (this->is_busy)
-        co_await sleep_for(look_again_after);
+        co_await sleep_for(retry_after);
     this->is_busy = true;
 }
 
-void Leadership::note_time(Instant now)
+void Leadership::check_for_stall(Instant now)
 {
-    bool const stood_still = now - this->ticked_at > standstill;
-    this->ticked_at = now;
-    if (stood_still)
-        this->woke(now);
+    bool const was_stalled = now - this->checked_at > stall_threshold;
+    this->checked_at = now;
+    if (was_stalled)
+        this->after_suspension(now);
 }
 
-Task<void> Leadership::stand()
+Task<void> Leadership::run_election()
 {
     for (;;) {
-        co_await sleep_for(tick);
+        co_await sleep_for(check_interval);
         auto const now = monotonic_now();
-        this->note_time(now);
-        if (this->leads() && this->state.is_stopping)
+        this->check_for_stall(now);
+        if (this->is_leader() && this->state.is_stopping)
             this->step_down("stopping");
         this->step_down_if_cut_off(now);
-        if (this->leads()) {
+        if (this->is_leader()) {
             static_cast<void>(co_await this->may_act());
             continue;
         }
-        this->must_claim_again = false;
+        this->must_reclaim = false;
         // NOTE: The place in the order is looked up only when it matters, since boxes have little processor time.
-        if (!this->may_stand(now)) {
+        if (!this->may_run_for_leader(now)) {
             this->in_touch_since.reset();
             continue;
         }
         if (!this->in_touch_since)
             this->in_touch_since = now;
-        if (now - *this->in_touch_since < listening_time || !this->election.may_claim(0, now)
+        if (now - *this->in_touch_since < claim_delay || !this->election.may_claim(0, now)
             || !this->election.may_claim(this->rank(), now))
             continue;
         co_await this->acquire();
@@ -74,18 +74,18 @@
     }
 }
 
-bool Leadership::may_stand(Instant now) const
+bool Leadership::may_run_for_leader(Instant now) const
 {
     // NOTE: Where what this box knows from the store is old, the store answers nobody, and a claim would fail too.
     bool const is_in_touch = this->state.router.trust(now) == Routing::ConfigurationTrust::Fresh;
-    return is_in_touch && !this->state.is_stopping && this->boxes.size() > 0 && this->ways.hears_others(now);
+    return is_in_touch && !this->state.is_stopping && this->boxes.size() > 0 && this->transport.has_recent_contact(now);
 }
 
 void Leadership::step_down_if_cut_off(Instant now)
 {
-    if (!this->leads() || this->ways.hears_others(now))
-        this->others_heard_at = now;
-    else if (now - this->others_heard_at > this->lease)
+    if (!this->is_leader() || this->transport.has_recent_contact(now))
+        this->last_contact_at = now;
+    else if (now - this->last_contact_at > this->lease)
         this->step_down("no other box is heard");
 }
 
@@ -108,16 +108,16 @@
     bool const is_own = this->leader_log.standing(this->process) == LeaderLog::Standing::Leads;
     // NOTE: A claim whose answer was lost shows here.
     if (is_own && this->leader_log.token() != this->refused_token) {
-        this->take_lead();
+        this->become_leader();
         co_return;
     }
-    if (this->gives_unheard_leader_time())
+    if (this->defers_to_unheard_leader())
         co_return;
     this->first_own_window = this->leader_log.first_window(this->state.usage_window_at(monotonic_now()));
     Leader::Claim const claim { this->box_name, this->process, this->leader_log.era(), this->first_own_window };
     auto const outcome = co_await this->append(this->leader_log.records_of_claim(claim, known_reports));
     if (outcome == Appended::Done) {
-        this->take_lead();
+        this->become_leader();
         co_return;
     }
     Log::EventLine("leader_claim_failed")
@@ -126,7 +126,7 @@
     this->election.claim_failed(monotonic_now());
 }
 
-bool Leadership::gives_unheard_leader_time()
+bool Leadership::defers_to_unheard_leader()
 {
     auto const& last = this->leader_log.claim();
     if (!last || last->box == this->box_name)
@@ -139,13 +139,13 @@
     return this->election.hear({ token, last->box, 0, 0, 0, false, {} }, monotonic_now());
 }
 
-void Leadership::take_lead()
+void Leadership::become_leader()
 {
     auto const now = monotonic_now();
     this->own_token = this->leader_log.token();
-    this->led_since = now;
-    this->is_in_doubt = false;
-    this->must_claim_again = false;
+    this->became_leader_at = now;
+    this->must_read_log = false;
+    this->must_reclaim = false;
     this->next_window = this->first_own_window;
     this->election.won(this->announcement(now), now);
     this->state.metrics.set_leads(true);
@@ -156,100 +156,100 @@
         .with("first_window", this->first_own_window)
         .with("reports_known", this->leader_log.reports().size())
         .info();
-    this->tell(now);
+    this->send_announcement(now);
 }
 
-void Leadership::lose_lead(std::string_view why)
+void Leadership::end_leadership(std::string_view reason)
 {
-    if (!this->leads())
+    if (!this->is_leader())
         return;
     Log::EventLine("leader_ended")
         .with("box", this->box_name)
         .with("token", this->own_token->value())
-        .with("reason", why)
+        .with("reason", reason)
         .info();
     this->own_token.reset();
-    this->is_in_doubt = false;
+    this->must_read_log = false;
     this->election.stepped_down(monotonic_now());
     this->state.metrics.set_leads(false);
 }
 
-void Leadership::step_down(std::string_view why)
+void Leadership::step_down(std::string_view reason)
 {
-    if (!this->leads())
+    if (!this->is_leader())
         return;
     auto resignation = this->announcement(monotonic_now());
     resignation.has_resigned = true;
     auto const bytes = Leader::encode(resignation);
-    this->lose_lead(why);
+    this->end_leadership(reason);
     // NOTE: Whoever misses it follows a lease later.
-    this->ways.to_some(bytes, this->boxes.size());
+    this->transport.to_some(bytes, this->boxes.size());
 }
 
-Task<void> Leadership::look_again()
+Task<void> Leadership::recheck_log()
 {
     auto const known_reports = this->leader_log.reports();
     if (!co_await this->read_log()) {
-        this->look_at = monotonic_now() + this->look_pause;
-        this->look_pause = std::min(2 * this->look_pause, longest_look_pause);
+        this->next_check_at = monotonic_now() + this->check_pause;
+        this->check_pause = std::min(2 * this->check_pause, max_check_pause);
         co_return;
     }
-    this->look_pause = first_look_pause;
+    this->check_pause = min_check_pause;
     auto const standing = this->leader_log.standing(this->process);
     if (standing == LeaderLog::Standing::Leads) {
-        this->is_in_doubt = false;
-        this->must_claim_again = false;
+        this->must_read_log = false;
+        this->must_reclaim = false;
         co_return;
     }
     if (standing == LeaderLog::Standing::OtherLeads) {
-        this->lose_lead("another box leads");
+        this->end_leadership("another box leads");
         co_return;
     }
     // NOTE: The store's copy lacks this box's claim, or has it from before: a token of the new history is needed, since
     // another box may have taken the lead in what was lost.
-    this->lose_lead("the store came back from a copy");
+    this->end_leadership("the store came back from a copy");
     co_await this->claim(known_reports);
 }
 
 Task<bool> Leadership::may_act()
 {
-    this->note_time(monotonic_now());
-    bool const has_to_look = this->leads() && (this->is_in_doubt || this->must_claim_again);
-    if (has_to_look && monotonic_now() >= this->look_at)
-        co_await this->look_who_leads();
-    co_return this->leads() && !this->is_in_doubt && !this->must_claim_again && !this->state.is_stopping;
+    this->check_for_stall(monotonic_now());
+    bool const needs_check = this->is_leader() && (this->must_read_log || this->must_reclaim);
+    if (needs_check && monotonic_now() >= this->next_check_at)
+        co_await this->check_leader();
+    co_return this->is_leader() && !this->must_read_log && !this->must_reclaim && !this->state.is_stopping;
 }
 
-Task<void> Leadership::look_who_leads()
+Task<void> Leadership::check_leader()
 {
     co_await this->acquire();
-    if (this->leads())
-        co_await this->look_again();
+    if (this->is_leader())
+        co_await this->recheck_log();
     this->release();
 }
 
 Task<void> Leadership::was_superseded()
 {
-    co_await this->look_who_leads();
+    co_await this->check_leader();
     // NOTE: The log knows no later leader, but the platform has seen a higher token. Only a new claim gets above it.
-    if (this->leads())
+    if (this->is_leader())
         this->refused_token = this->own_token;
-    this->lose_lead("the platform has seen a higher token");
+    this->end_leadership("the platform has seen a higher token");
 }
 
 Task<bool> Leadership::write_report(std::uint64_t window, Leader::AccountCounts const& counts)
 {
     co_await this->acquire();
-    bool is_written = this->leads() && this->leader_log.reports().contains(window);
+    bool is_written = this->is_leader() && this->leader_log.reports().contains(window);
     // NOTE: This box may have claimed anew while it waited for its turn, in another history of the store.
     bool const is_left_out = window < this->first_own_window;
-    if (this->leads() && !is_written && !is_left_out) {
+    if (this->is_leader() && !is_written && !is_left_out) {
         auto const outcome = co_await this->append(this->leader_log.records_of_report(window, counts));
         if (outcome != Appended::Done) {
-            this->is_in_doubt = true;
-            co_await this->look_again();
+            this->must_read_log = true;
+            co_await this->recheck_log();
         }
-        is_written = this->leads() && !this->is_in_doubt && this->leader_log.reports().contains(window);
+        is_written = this->is_leader() && !this->must_read_log && this->leader_log.reports().contains(window);
     }
     this->release();
     co_return is_written;
@@ -264,7 +264,7 @@
     auto const target = Adapter::append_target(Adapter::Topic::Leader, this->leader_log.end());
     auto const answer = co_await this->connection.post(target, body, timeouts, reason);
     this->state.metrics.count_store_call("leader", answer ? std::to_string(answer->status) : "no-answer");
-    this->note_store(answer.has_value(), monotonic_now());
+    this->note_store_call(answer.has_value(), monotonic_now());
     if (!answer) {
         Log::EventLine("leader_log_call_failed").with("call", "append").with("reason", reason.text).warning();
         co_return Appended::Unknown;
@@ -274,8 +274,8 @@
         co_return Appended::EndMoved;
     auto const place = answer->status == status_ok ? Adapter::decode_append(answer->body, reason) : std::nullopt;
     if (!place) {
-        auto const why = reason.text.empty() ? "status " + std::to_string(answer->status) : reason.text;
-        Log::EventLine("leader_log_call_failed").with("call", "append").with("reason", why).warning();
+        auto const failure = reason.text.empty() ? "status " + std::to_string(answer->status) : reason.text;
+        Log::EventLine("leader_log_call_failed").with("call", "append").with("reason", failure).warning();
         co_return Appended::Unknown;
     }
     this->leader_log.appended(records, place->offset);
@@ -288,10 +288,10 @@
     std::optional<std::uint64_t> era;
     bool is_one_history = true;
     auto const topic = co_await read_whole_topic(
-        Adapter::Topic::Leader, reason, [&, this](std::string const& target) -> Task<std::optional<StoreAnswer>> {
+        Adapter::Topic::Leader, reason, [&, this](std::string const& target) -> Task<std::optional<HttpAnswer>> {
             auto answer = co_await this->connection.get(target, timeouts, reason);
             this->state.metrics.count_store_call("leader", answer ? std::to_string(answer->status) : "no-answer");
-            this->note_store(answer.has_value(), monotonic_now());
+            this->note_store_call(answer.has_value(), monotonic_now());
             if (answer && answer->status != status_ok) {
                 reason.text = "status " + std::to_string(answer->status);
                 co_return std::nullopt;
@@ -302,8 +302,8 @@
             co_return answer;
         });
     if (!topic || !is_one_history) {
-        auto const why = topic ? "pages of two histories of the store" : reason.text;
-        Log::EventLine("leader_log_call_failed").with("call", "read").with("reason", why).warning();
+        auto const failure = topic ? "pages of two histories of the store" : reason.text;
+        Log::EventLine("leader_log_call_failed").with("call", "read").with("reason", failure).warning();
         co_return false;
     }
     std::vector<Leader::LogRecord> records;
@@ -313,12 +313,12 @@
     co_return true;
 }
 
-void Leadership::note_store(bool is_answered, Instant now)
+void Leadership::note_store_call(bool is_answered, Instant now)
 {
     if (is_answered)
-        this->store_lost_since.reset();
-    else if (!this->store_lost_since)
-        this->store_lost_since = now;
+        this->store_unreachable_since.reset();
+    else if (!this->store_unreachable_since)
+        this->store_unreachable_since = now;
 }
 
 Adapter::LeaderIdentity Leadership::identity() const
@@ -337,72 +337,75 @@
     for (;;) {
         co_await sleep_for(announce_interval);
         auto const now = monotonic_now();
-        this->note_time(now);
-        bool const is_cut_off = this->store_lost_since && now - *this->store_lost_since > longest_store_loss;
-        if (this->leads() && !this->is_in_doubt && !is_cut_off)
-            this->tell(now);
+        this->check_for_stall(now);
+        bool const is_cut_off
+            = this->store_unreachable_since && now - *this->store_unreachable_since > max_store_outage;
+        if (this->is_leader() && !this->must_read_log && !is_cut_off)
+            this->send_announcement(now);
     }
 }
 
-void Leadership::tell(Instant now)
+void Leadership::send_announcement(Instant now)
 {
     auto const bytes = Leader::encode(this->announcement(now));
     std::vector<Membership::BoxRecord> all;
     for (auto const& [name, box] : this->boxes.all())
         all.push_back(box);
     auto const ordered = Membership::BoxDirectory::in_order(std::move(all));
-    for (std::size_t index = 0; index < std::min(boxes_told_always, ordered.size()); ++index) {
+    for (std::size_t index = 0; index < std::min(boxes_announced_always, ordered.size()); ++index) {
         if (ordered[index].name != this->box_name)
-            this->ways.to_box(ordered[index].address, bytes);
+            this->transport.to_box(ordered[index].address, bytes);
     }
-    this->ways.to_some(bytes, boxes_told_in_turn);
+    this->transport.to_some(bytes, boxes_announced_in_turn);
 }
 
-std::optional<Leadership::News> Leadership::news(Instant now) const
+std::optional<Leadership::RelayedAnnouncement> Leadership::announcement_to_relay(Instant now) const
 {
-    if (this->leads() && !this->is_in_doubt)
-        return News { Leader::encode(this->announcement(now)), now };
+    if (this->is_leader() && !this->must_read_log)
+        return RelayedAnnouncement { Leader::encode(this->announcement(now)), now };
     auto const& known = this->election.leader();
-    if (!known || !this->heard_at)
+    if (!known || !this->announcement_received_at)
         return {};
-    return News { Leader::encode(*known), *this->heard_at };
+    return RelayedAnnouncement { Leader::encode(*known), *this->announcement_received_at };
 }
 
-void Leadership::take_news(News const& news)
+void Leadership::receive_relayed(RelayedAnnouncement const& relayed)
 {
-    auto const message = Leader::decode_leader_message(news.bytes);
+    auto const message = Leader::decode_leader_message(relayed.bytes);
     auto const* const announcement = message ? std::get_if<Leader::Announcement>(&*message) : nullptr;
-    bool const is_newer = announcement && (!this->heard_at || news.told_at > *this->heard_at);
+    bool const is_newer
+        = announcement && (!this->announcement_received_at || relayed.sent_at > *this->announcement_received_at);
     if (is_newer && announcement->box != this->box_name)
-        this->hear(*announcement, news.told_at);
+        this->receive(*announcement, relayed.sent_at);
 }
 
-void Leadership::hear(Leader::Announcement const& announcement, Instant told_at)
+void Leadership::receive(Leader::Announcement const& announcement, Instant sent_at)
 {
     auto const known = this->election.leader();
-    if (!this->election.hear(announcement, told_at))
+    if (!this->election.hear(announcement, sent_at))
         return;
-    this->heard_at = told_at;
+    this->announcement_received_at = sent_at;
     if (!known || known->token != announcement.token)
         Log::EventLine("leader_heard").with("box", announcement.box).with("token", announcement.token).info();
-    this->state.clock.follow(announcement.unix_microseconds, announcement.clocks, told_at);
-    if (this->leads() && announcement.token > this->own_token->value())
-        this->lose_lead("another box leads");
+    this->state.clock.follow(announcement.unix_microseconds, announcement.clocks, sent_at);
+    if (this->is_leader() && announcement.token > this->own_token->value())
+        this->end_leadership("another box leads");
 }
 
 std::optional<Leader::Announcement> Leadership::leader(Instant now) const
 {
     auto const& known = this->election.leader();
-    bool const is_recent = this->heard_at && now - *this->heard_at <= announcement_memory;
+    bool const is_recent
+        = this->announcement_received_at && now - *this->announcement_received_at <= announcement_lifetime;
     if (!known || known->has_resigned || !is_recent)
         return {};
     return known;
 }
 
-void Leadership::woke(Instant now)
+void Leadership::after_suspension(Instant now)
 {
     this->election.woke(now);
-    this->is_in_doubt = this->leads();
+    this->must_read_log = this->is_leader();
 }
 
 }
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -6,23 +6,24 @@
 
 using Core::monotonic_now;
 
-LoadExchange::LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes, Routing::SocketAddress own,
-    std::uint64_t sender, Knowledge knowledge, OnOther on_other)
+LoadExchange::LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes,
+    Routing::SocketAddress own_address, std::uint64_t sender, StoreVersionHandlers version_handlers,
+    OnOtherMessage on_other_message)
     : state(state)
     , boxes(boxes)
-    , own(std::move(own))
+    , own_address(std::move(own_address))
     , sender(sender)
-    , knowledge(std::move(knowledge))
-    , on_other(std::move(on_other))
+    , version_handlers(std::move(version_handlers))
+    , on_other_message(std::move(on_other_message))
     , socket(state.context)
 {
 }
 
 bool LoadExchange::open(Core::LastReason& last_reason)
 {
-    auto const place = to_socket_address(this->own);
+    auto const place = to_socket_address(this->own_address);
     if (!place) {
-        last_reason.text = "not a numeric address: " + this->own.host;
+        last_reason.text = "not a numeric address: " + this->own_address.host;
         return false;
     }
     error_code error;
@@ -30,29 +31,29 @@
     if (!error)
         this->socket.bind(udp::endpoint(place->address(), place->port()), error);
     if (error)
-        last_reason.text = "can't receive datagrams on " + this->own.host + ": " + error.message();
+        last_reason.text = "can't receive datagrams on " + this->own_address.host + ": " + error.message();
     return !error;
 }
 
-Task<void> LoadExchange::tell()
+Task<void> LoadExchange::send_reports()
 {
-    bool told_something = false;
+    bool has_sent_load = false;
     for (;;) {
         auto const now = monotonic_now();
         auto const message = this->own_message(now);
         bool const has_load = !message.report.endpoints.empty();
-        auto const places = this->others();
+        auto const addresses = this->others();
         // NOTE: The first report without load is told too, since it takes back what was told before.
-        if (places.empty() || (!has_load && !told_something)) {
+        if (addresses.empty() || (!has_load && !has_sent_load)) {
             co_await sleep_for(idle_interval);
             continue;
         }
         auto const bytes = Membership::encode(message);
-        auto const plan = Membership::plan_reports(places.size(), bytes.size());
+        auto const plan = Membership::plan_reports(addresses.size(), bytes.size());
         this->state.router.set_report_interval(plan.interval);
-        this->send_to(places, bytes, plan.receivers);
+        this->send_to(addresses, bytes, plan.receivers);
         this->state.metrics.count_load_reports("told", plan.receivers);
-        told_something = has_load;
+        has_sent_load = has_load;
         this->ages.expire(now);
         co_await sleep_for(plan.interval);
     }
@@ -60,10 +61,10 @@
 
 Membership::LoadMessage LoadExchange::own_message(Core::Instant now) const
 {
-    return { this->sender, now, this->state.router.load_report(now), this->knowledge.own(now) };
+    return { this->sender, now, this->state.router.load_report(now), this->version_handlers.own(now) };
 }
 
-void LoadExchange::tell_one(Routing::SocketAddress const& address)
+void LoadExchange::send_report(Routing::SocketAddress const& address)
 {
     this->send_to_address(address, Membership::encode(this->own_message(monotonic_now())));
 }
@@ -79,17 +80,17 @@
         this->send_to({ udp::endpoint(place->address(), place->port()) }, bytes, 1);
 }
 
-void LoadExchange::send_to(std::vector<udp::endpoint> const& places, std::string const& bytes, std::size_t receivers)
+void LoadExchange::send_to(std::vector<udp::endpoint> const& addresses, std::string const& bytes, std::size_t receivers)
 {
-    for (std::size_t sent = 0; sent < std::min(receivers, places.size()); ++sent) {
+    for (std::size_t sent = 0; sent < std::min(receivers, addresses.size()); ++sent) {
         error_code ignored;
         // NOTE: What the network does not take now is as good as lost on the way; whoever sends tells it again.
-        this->socket.send_to(asio::buffer(bytes), places[this->next_receiver++ % places.size()],
+        this->socket.send_to(asio::buffer(bytes), addresses[this->next_receiver++ % addresses.size()],
             udp::socket::message_flags(MSG_DONTWAIT), ignored);
     }
 }
 
-Task<void> LoadExchange::hear()
+Task<void> LoadExchange::receive()
 {
     std::string bytes;
     for (;;) {
@@ -98,30 +99,30 @@
             co_return;
         error_code error;
         auto const waiting = this->socket.available(error);
-        bytes.resize(std::min(std::max<std::size_t>(waiting, 1), largest_message));
+        bytes.resize(std::min(std::max<std::size_t>(waiting, 1), max_message_bytes));
         udp::endpoint from;
         auto const size = this->socket.receive_from(asio::buffer(bytes), from, MSG_DONTWAIT, error);
         // NOTE: A box that is gone shows as an error of the next call; there is nothing to do about it.
         if (!error)
-            this->take(std::string_view(bytes).substr(0, size), from);
+            this->handle(std::string_view(bytes).substr(0, size), from);
     }
 }
 
 std::vector<LoadExchange::udp::endpoint> LoadExchange::others() const
 {
-    std::vector<udp::endpoint> places;
+    std::vector<udp::endpoint> addresses;
     for (auto const& [name, box] : this->boxes.all()) {
         auto const place = to_socket_address(box.address);
-        if (place && box.address != this->own)
-            places.emplace_back(place->address(), place->port());
+        if (place && box.address != this->own_address)
+            addresses.emplace_back(place->address(), place->port());
     }
-    return places;
+    return addresses;
 }
 
-void LoadExchange::take(std::string_view bytes, udp::endpoint const& from)
+void LoadExchange::handle(std::string_view bytes, udp::endpoint const& from)
 {
     auto const message = Membership::decode_load(bytes);
-    if (!message && this->on_other(bytes, { from.address().to_string(), from.port() }))
+    if (!message && this->on_other_message(bytes, { from.address().to_string(), from.port() }))
         return;
     if (!message) {
         this->state.metrics.count_load_reports("unreadable", 1);
@@ -134,7 +135,7 @@
     if (!age)
         return;
     this->state.router.take_load_report(message->sender, message->report, now - *age);
-    this->knowledge.take(message->knowledge, now - *age);
+    this->version_handlers.apply(message->knowledge, now - *age);
 }
 
 }
--- a/Libraries/LibGateway/LoadExchange.h
+++ b/Libraries/LibGateway/LoadExchange.h
@@ -14,27 +14,27 @@
 class LoadExchange {
 public:
     /// What came on this port from a box at this address and is no load report; false if it is nothing else either.
-    using OnOther = std::function<bool(std::string_view bytes, Routing::SocketAddress const& from)>;
+    using OnOtherMessage = std::function<bool(std::string_view bytes, Routing::SocketAddress const& from)>;
 
     /// What this box tells the others beside its load, and takes from them.
-    struct Knowledge {
+    struct StoreVersionHandlers {
         std::function<Membership::StoreKnowledge(Core::Instant now)> own;
-        std::function<void(Membership::StoreKnowledge const& told, Core::Instant told_at)> take;
+        std::function<void(Membership::StoreKnowledge const& reported, Core::Instant sent_at)> apply;
     };
 
     /// `own` is the address that other boxes know this one by. `sender` names this process.
-    LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes, Routing::SocketAddress own,
-        std::uint64_t sender, Knowledge knowledge, OnOther on_other);
+    LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes, Routing::SocketAddress own_address,
+        std::uint64_t sender, StoreVersionHandlers version_handlers, OnOtherMessage on_other_message);
 
     /// False, with a reason, where datagrams can't be received.
     [[nodiscard]] bool open(Core::LastReason& last_reason);
     /// Run until the event loop is stopped.
-    [[nodiscard]] Task<void> tell();
-    [[nodiscard]] Task<void> hear();
+    [[nodiscard]] Task<void> send_reports();
+    [[nodiscard]] Task<void> receive();
     /// Sends these bytes to the box at this address; nothing happens for one that is no address.
     void send_to_address(Routing::SocketAddress const& address, std::string const& bytes);
     /// Tells the box at this address what the others are told.
-    void tell_one(Routing::SocketAddress const& address);
+    void send_report(Routing::SocketAddress const& address);
     /// Sends these bytes to so many other boxes, in turn; to all if there are no more.
     void send(std::string const& bytes, std::size_t receivers);
 
@@ -43,20 +43,20 @@
 
     [[nodiscard]] std::vector<udp::endpoint> others() const;
     [[nodiscard]] Membership::LoadMessage own_message(Core::Instant now) const;
-    void send_to(std::vector<udp::endpoint> const& places, std::string const& bytes, std::size_t receivers);
-    void take(std::string_view bytes, udp::endpoint const& from);
+    void send_to(std::vector<udp::endpoint> const& addresses, std::string const& bytes, std::size_t receivers);
+    void handle(std::string_view bytes, udp::endpoint const& from);
 
     /// Where there is nobody to tell, or nothing new.
     static constexpr Core::Duration idle_interval { std::chrono::milliseconds(200) };
     /// The largest datagram there is.
-    static constexpr std::size_t largest_message = 64 * 1024;
+    static constexpr std::size_t max_message_bytes = 64 * 1024;
 
     GatewayState& state;
     Membership::BoxDirectory const& boxes;
-    Routing::SocketAddress own;
+    Routing::SocketAddress own_address;
     std::uint64_t sender;
-    Knowledge knowledge;
-    OnOther on_other;
+    StoreVersionHandlers version_handlers;
+    OnOtherMessage on_other_message;
     udp::socket socket;
     Membership::MessageAges ages;
     /// Where the next report begins among the others, so that all are told in turn where not all are each time.
--- a/Libraries/LibGateway/RelayFollower.cpp
+++ b/Libraries/LibGateway/RelayFollower.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// When the relay heard of the beginning of the store's present history; nothing if it heard of no earlier one.
-std::optional<Core::Instant> risen_at(Membership::ControlAnswer const& answer, Core::Instant asked_at)
+std::optional<Core::Instant> era_began_at(Membership::ControlAnswer const& answer, Core::Instant asked_at)
 {
     return answer.store_era_risen_ago ? std::optional(asked_at - *answer.store_era_risen_ago) : std::nullopt;
 }
@@ -18,11 +18,11 @@
 }
 
 RelayFollower::RelayFollower(GatewayState& state, ControlRecords& records, Membership::ControlSource& source,
-    OnChange on_change, OnMissingConfiguration on_missing_configuration)
+    OnStoreReadNeeded on_store_read_needed, OnMissingConfiguration on_missing_configuration)
     : state(state)
     , records(records)
     , source(source)
-    , on_change(std::move(on_change))
+    , on_store_read_needed(std::move(on_store_read_needed))
     , on_missing_configuration(std::move(on_missing_configuration))
     , pause(state.context)
 {
@@ -41,25 +41,25 @@
             relay = this->source.relay(monotonic_now());
         }
         bool const reads_store = this->source.reads_store(monotonic_now());
-        if (reads_store && !this->was_reading_store) {
+        if (reads_store && !this->is_reading_store) {
             Log::EventLine("store_reading_begun")
-                .with("why", this->why_it_reads(relay))
+                .with("why", this->store_reading_reason(relay))
                 .with("boxes", this->source.boxes().size())
                 .info();
-            this->on_change();
+            this->on_store_read_needed();
         }
-        this->was_reading_store = reads_store;
+        this->is_reading_store = reads_store;
         co_await this->pause.wait(this->source.poll_interval(monotonic_now()));
     }
 }
 
 Task<bool> RelayFollower::ask(Membership::BoxRecord const& relay)
 {
-    this->use(relay);
+    this->connect_to(relay);
     auto const asked_at = monotonic_now();
     Core::LastReason reason;
-    auto const question = Membership::encode(this->records.question(asked_at));
-    auto const reply = co_await this->call(question, this->source.patience_with(relay, asked_at), reason);
+    auto const request = Membership::encode(this->records.request(asked_at));
+    auto const reply = co_await this->call(request, this->source.patience_with(relay, asked_at), reason);
     if (!reply) {
         this->note_failure(relay, reason.text);
         co_return false;
@@ -77,35 +77,35 @@
         this->note_failure(relay, "unreadable answer");
         co_return false;
     }
-    if (!this->records.hear_era(answer->store_era, risen_at(*answer, asked_at), monotonic_now())) {
+    if (!this->records.observe_era(answer->store_era, era_began_at(*answer, asked_at), monotonic_now())) {
         this->note_failure(relay, "knows an earlier history of the store");
         co_return false;
     }
-    auto const vouched_at = asked_at - std::max(answer->endpoints_age, answer->configuration_age);
-    bool const is_recent = this->source.is_recent(vouched_at, monotonic_now());
-    this->source.relay_answered(relay.name, vouched_at, monotonic_now());
+    auto const confirmed_at = asked_at - std::max(answer->endpoints_age, answer->configuration_age);
+    bool const is_recent = this->source.is_recent(confirmed_at, monotonic_now());
+    this->source.relay_answered(relay.name, confirmed_at, monotonic_now());
     this->state.metrics.count_relay_question(is_recent ? "answered" : "old");
     // NOTE: A version that is newer than this box's own is of use however late it comes; its age renews no lease.
     if (is_recent && !this->is_answering)
         Log::EventLine("relay_in_use")
             .with("relay", relay.name)
-            .with("age_ms", Core::to_milliseconds(monotonic_now() - vouched_at))
+            .with("age_ms", Core::to_milliseconds(monotonic_now() - confirmed_at))
             .info();
     this->is_answering = is_recent;
-    if (!this->records.take_relayed(*answer, relay.failure_domain, asked_at))
+    if (!this->records.apply_relayed(*answer, relay.failure_domain, asked_at))
         this->on_missing_configuration();
     co_return true;
 }
 
-std::string_view RelayFollower::why_it_reads(std::optional<Membership::BoxRecord> const& relay) const
+std::string_view RelayFollower::store_reading_reason(std::optional<Membership::BoxRecord> const& relay) const
 {
     if (!relay)
         return this->source.is_relay(monotonic_now()) ? "relay of others" : "nobody to ask";
     return this->is_answering ? "relay's knowledge too old" : "relay failed";
 }
 
-Task<std::optional<StoreAnswer>> RelayFollower::call(
-    std::string const& question, Core::Duration patience, Core::LastReason& last_reason)
+Task<std::optional<HttpAnswer>> RelayFollower::call(
+    std::string const& request, Core::Duration timeout, Core::LastReason& last_reason)
 {
     // NOTE: Guards against a relay that answers by drops. Where no piece is late a call may last for 27 s, and for as
     // long the next box of the order would not be asked.
@@ -113,13 +113,13 @@
     auto const whole = std::make_shared<CallWatch>(
         this->state.context, CallTimeouts { longest, longest }, [this] { this->connection->abort(); });
     whole->start();
-    CallTimeouts const timeouts { patience, patience };
-    auto answer = co_await this->connection->post(std::string(control_path), question, timeouts, last_reason);
+    CallTimeouts const timeouts { timeout, timeout };
+    auto answer = co_await this->connection->post(std::string(control_path), request, timeouts, last_reason);
     whole->finish();
     co_return answer;
 }
 
-void RelayFollower::use(Membership::BoxRecord const& relay)
+void RelayFollower::connect_to(Membership::BoxRecord const& relay)
 {
     if (this->connection && this->relay_name == relay.name && this->relay_address == relay.address)
         return;
--- a/Libraries/LibGateway/RequestExchange.cpp
+++ b/Libraries/LibGateway/RequestExchange.cpp
@@ -88,7 +88,7 @@
 {
     for (;;) {
         this->state.notice_suspension();
-        auto const verdict = this->state.crash_news.verdict(this->fingerprint);
+        auto const verdict = this->state.crash_news.status(this->fingerprint);
         if (verdict.refused_for) {
             co_await this->end_unplaced({ Reason::RequestCrashesEndpoints, verdict.refused_for });
             co_return;
@@ -223,7 +223,7 @@
     if (facts.rate_limit)
         attempt.told_per_second = facts.rate_limit->per_second;
     if (!facts.is_other_endpoint)
-        this->state.endpoint_news.answered(
+        this->state.endpoint_news.endpoint_answered(
             attempt.placed, { facts.rate_limit, facts.is_draining, !facts.not_run, facts.backoff }, attempt.started);
     auto const endpoint = attempt.placed.choice.endpoint;
     if (facts.load)
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -19,28 +19,28 @@
 
 }
 
-std::optional<StoreLink::Loss> StoreLink::answered()
+std::optional<OutageTracker::Outage> OutageTracker::answered()
 {
-    return std::exchange(this->loss, std::nullopt);
+    return std::exchange(this->outage, std::nullopt);
 }
 
-bool StoreLink::failed(Instant now)
+bool OutageTracker::failed(Instant now)
 {
-    bool const is_first = !this->loss;
+    bool const is_first = !this->outage;
     if (is_first)
-        this->loss = Loss { now, 0 };
-    ++this->loss->failed_calls;
+        this->outage = Outage { now, 0 };
+    ++this->outage->failed_calls;
     return is_first;
 }
 
 StoreFollower::StoreFollower(GatewayState& state, ControlRecords& records, Membership::ControlSource& source,
-    Routing::SocketAddress address, Adapter::Topic topic, Paces paces, OnReturn on_return)
+    Routing::SocketAddress address, Adapter::Topic topic, Paces paces, OnStoreReturn on_store_return)
     : state(state)
     , records(records)
     , source(source)
     , topic(topic)
     , paces(paces)
-    , on_return(std::move(on_return))
+    , on_store_return(std::move(on_store_return))
     , connection(state.context, std::move(address))
     , pause(state.context)
 {
@@ -49,8 +49,8 @@
 Task<void> StoreFollower::run()
 {
     while (!this->is_stopped) {
-        if (!this->has_to_read() || this->waits_for_other()) {
-            this->asks_at_once = true;
+        if (!this->must_read() || this->waits_for_other()) {
+            this->skips_wait = true;
             co_await this->pause.wait(this->source.poll_interval(monotonic_now()));
             continue;
         }
@@ -67,23 +67,23 @@
     }
 }
 
-bool StoreFollower::has_to_read() const
+bool StoreFollower::must_read() const
 {
     // NOTE: A box that knows nothing can serve nobody, so it waits for a relay only as long as a start takes anyway.
     auto const now = monotonic_now();
-    bool const knows_nothing = !this->records.knows(this->topic);
-    if (knows_nothing)
+    bool const was_never_read = !this->records.was_read(this->topic);
+    if (was_never_read)
         return !this->source.awaits_first_answer(now);
     return this->is_behind || this->is_read_wanted || this->source.reads_store(now);
 }
 
 bool StoreFollower::waits_for_other() const
 {
-    if (!this->first_to_retry || !this->first_to_retry->is_unanswered || !this->is_unanswered)
+    if (!this->first_to_retry || !this->first_to_retry->has_failed || !this->has_failed)
         return false;
     // NOTE: Only while the other one has the same reason to read; else it rests, and nobody would try the store.
     auto const now = monotonic_now();
-    bool const have_same_reason = this->records.knows(this->topic) && !this->is_behind && !this->is_read_wanted;
+    bool const have_same_reason = this->records.was_read(this->topic) && !this->is_behind && !this->is_read_wanted;
     return have_same_reason && this->source.reads_store(now) && this->source.tries_one_topic(now);
 }
 
@@ -98,10 +98,10 @@
     this->wake();
 }
 
-void StoreFollower::woke()
+void StoreFollower::after_suspension()
 {
-    this->asks_at_once = true;
-    this->woke_at = monotonic_now();
+    this->skips_wait = true;
+    this->suspension_ended_at = monotonic_now();
     this->wake();
 }
 
@@ -118,7 +118,7 @@
     Core::LastReason reason;
     std::optional<std::uint64_t> era_of_first_page;
     auto const topic = co_await read_whole_topic(
-        this->topic, reason, [&, this](std::string const& target) -> Task<std::optional<StoreAnswer>> {
+        this->topic, reason, [&, this](std::string const& target) -> Task<std::optional<HttpAnswer>> {
             auto answer = co_await this->call(target, Core::Duration { 0 });
             if (answer && !era_of_first_page)
                 era_of_first_page = answer->era;
@@ -137,8 +137,8 @@
     this->note_unreadable(topic->unreadable);
     this->records.set_next(this->topic, topic->end);
     this->is_behind = false;
-    this->asks_at_once = monotonic_now() - asked_at > this->pace().wait;
-    this->take(topic->records, asked_at, Coverage::WholeList);
+    this->skips_wait = monotonic_now() - asked_at > this->pace().wait;
+    this->apply(topic->records, asked_at, Coverage::WholeList);
     co_return true;
 }
 
@@ -147,7 +147,7 @@
     auto const asked_at = monotonic_now();
     auto const from = *this->records.next(this->topic);
     auto const era = this->records.era();
-    auto const wait = this->asks_at_once ? Core::Duration { 0 } : this->pace().wait;
+    auto const wait = this->skips_wait ? Core::Duration { 0 } : this->pace().wait;
     auto const answer = co_await this->call(Adapter::records_target(this->topic, from, wait), wait);
     if (!answer)
         co_return false;
@@ -170,9 +170,9 @@
     bool const took_long = monotonic_now() - asked_at > this->pace().wait;
     // NOTE: Told by the suspension, not by how long the read took: one over a narrow link takes as long, and boxes that
     // ask again at once keep their links busy until a new version comes too late.
-    bool const was_asked_before_waking = this->woke_at && asked_at < *this->woke_at;
-    this->asks_at_once = was_asked_before_waking || (took_long && !page->records.empty());
-    this->take(page->records, asked_at, more_follows ? Coverage::Part : Coverage::UpToEnd);
+    bool const was_sent_before_suspension_ended = this->suspension_ended_at && asked_at < *this->suspension_ended_at;
+    this->skips_wait = was_sent_before_suspension_ended || (took_long && !page->records.empty());
+    this->apply(page->records, asked_at, more_follows ? Coverage::Part : Coverage::UpToEnd);
     co_return true;
 }
 
@@ -186,19 +186,19 @@
     return this->is_behind && this->topic == Adapter::Topic::Operator;
 }
 
-Task<std::optional<StoreAnswer>> StoreFollower::call(std::string const& target, Core::Duration wait)
+Task<std::optional<HttpAnswer>> StoreFollower::call(std::string const& target, Core::Duration wait)
 {
     Core::LastReason reason;
     auto answer = co_await this->connection.get(target, { wait + first_byte_timeout, idle_timeout }, reason);
     this->state.metrics.count_store_bytes(this->connection.last_progress().received_bytes);
-    this->is_unanswered = !answer || (answer->status != status_ok && !Adapter::says_gone(answer->status));
+    this->has_failed = !answer || (answer->status != status_ok && !Adapter::says_gone(answer->status));
     if (!answer) {
         this->state.metrics.count_store_call(to_string(this->topic), "no-answer");
         this->note_failure(reason.text);
         co_return std::nullopt;
     }
     this->state.metrics.count_store_call(to_string(this->topic), std::to_string(answer->status));
-    if (!this->records.hear_era(answer->era, std::nullopt, monotonic_now())) {
+    if (!this->records.observe_era(answer->era, std::nullopt, monotonic_now())) {
         this->note_failure("answer of an earlier history of the store");
         co_return std::nullopt;
     }
@@ -215,12 +215,12 @@
     co_return std::nullopt;
 }
 
-void StoreFollower::take(std::vector<Adapter::KeyedRecord> const& records, Instant asked_at, Coverage coverage)
+void StoreFollower::apply(std::vector<Adapter::KeyedRecord> const& records, Instant asked_at, Coverage coverage)
 {
     if (this->topic == Adapter::Topic::Endpoints)
-        this->records.take_endpoint_records(records, asked_at, coverage);
+        this->records.apply_endpoint_records(records, asked_at, coverage);
     else
-        this->records.take_operator_records(records, asked_at, coverage);
+        this->records.apply_operator_records(records, asked_at, coverage);
 }
 
 void StoreFollower::note_unreadable(std::size_t count)
@@ -234,7 +234,7 @@
 void StoreFollower::note_failure(std::string const& reason)
 {
     this->source.store_failed(monotonic_now());
-    if (this->link.failed(monotonic_now()))
+    if (this->outages.failed(monotonic_now()))
         Log::EventLine("store_lost").with("topic", to_string(this->topic)).with("reason", reason).warning();
 }
 
@@ -242,16 +242,16 @@
 {
     auto const now = monotonic_now();
     this->source.store_answered();
-    auto const loss = this->link.answered();
-    if (!loss)
+    auto const outage = this->outages.answered();
+    if (!outage)
         return;
-    this->on_return();
+    this->on_store_return();
     if (this->topic == Adapter::Topic::Endpoints)
         this->records.store_returned(now);
     Log::EventLine("store_regained")
         .with("topic", to_string(this->topic))
-        .with("away_ms", Core::to_milliseconds(now - loss->since))
-        .with("failed_calls", loss->failed_calls)
+        .with("away_ms", Core::to_milliseconds(now - outage->since))
+        .with("failed_calls", outage->failed_calls)
         .warning();
 }
 
--- a/Libraries/LibGateway/StoreFollower.h
+++ b/Libraries/LibGateway/StoreFollower.h
@@ -1,31 +1,31 @@
 #pragma once
 
 #include <LibGateway/ControlRecords.h>
-#include <LibGateway/StoreConnection.h>
+#include <LibGateway/HttpConnection.h>
 #include <LibMembership/ControlSource.h>
 
 #include <functional>
 
 namespace Gateway {
 
-/// Whether one of the two followers reaches the store, so that a loss and a return are logged once.
-class StoreLink {
+/// Whether one of the two followers reaches the store, so that a outage and a return are logged once.
+class OutageTracker {
 public:
-    /// A loss of the store that is over.
-    struct Loss {
+    /// A outage of the store that is over.
+    struct Outage {
         Core::Instant since;
         unsigned failed_calls { 0 };
 
-        bool operator==(Loss const&) const = default;
+        bool operator==(Outage const&) const = default;
     };
 
-    /// The loss that this answer ended; nothing if the store had not been away.
-    [[nodiscard]] std::optional<Loss> answered();
+    /// The outage that this answer ended; nothing if the store had not been away.
+    [[nodiscard]] std::optional<Outage> answered();
     /// True if this is the first failure since the last answer.
     [[nodiscard]] bool failed(Core::Instant now);
 
 private:
-    std::optional<Loss> loss;
+    std::optional<Outage> outage;
 };
 
 /// Follows one topic of the platform's store: reads the newest record of each key once, then what is appended. When
@@ -44,12 +44,12 @@
         Pace as_relay;
     };
 
-    /// Called when the store answers again after a loss, so that whoever else waits for it doesn't wait on.
-    using OnReturn = std::function<void()>;
+    /// Called when the store answers again after a outage, so that whoever else waits for it doesn't wait on.
+    using OnStoreReturn = std::function<void()>;
 
     StoreFollower(
         GatewayState& state, ControlRecords& records, Membership::ControlSource& source, Routing::SocketAddress address,
-        Adapter::Topic topic, Paces paces, OnReturn on_return = [] {});
+        Adapter::Topic topic, Paces paces, OnStoreReturn on_store_return = [] {});
 
     /// Runs until stop().
     [[nodiscard]] Task<void> run();
@@ -58,22 +58,22 @@
     /// Ends a pause, since who reads the store may have changed.
     void wake() { this->pause.end(); }
     /// The box was suspended: the next read doesn't wait at the store.
-    void woke();
+    void after_suspension();
     /// Reads once even while a relay tells what the store says.
     void read_now();
     /// After a failed read the other follower's answer comes first, where the source says so. Both live as long.
-    void leave_retries_to(StoreFollower const& other) { this->first_to_retry = &other; }
+    void defer_retries_to(StoreFollower const& other) { this->first_to_retry = &other; }
 
 private:
-    [[nodiscard]] bool has_to_read() const;
+    [[nodiscard]] bool must_read() const;
     /// Whether a read that failed waits until the other follower's is answered.
     [[nodiscard]] bool waits_for_other() const;
     [[nodiscard]] Pace const& pace() const;
     [[nodiscard]] Task<bool> read_newest();
     [[nodiscard]] Task<bool> read_next();
     /// `wait` is how long the store may hold the answer back.
-    [[nodiscard]] Task<std::optional<StoreAnswer>> call(std::string const& target, Core::Duration wait);
-    void take(std::vector<Adapter::KeyedRecord> const& records, Core::Instant asked_at, Coverage coverage);
+    [[nodiscard]] Task<std::optional<HttpAnswer>> call(std::string const& target, Core::Duration wait);
+    void apply(std::vector<Adapter::KeyedRecord> const& records, Core::Instant asked_at, Coverage coverage);
     /// Whether the newest records are read in place of those that follow.
     [[nodiscard]] bool skips_to_newest() const;
     /// An answer held records that can't be read; the others were taken.
@@ -93,22 +93,22 @@
     Membership::ControlSource& source;
     Adapter::Topic topic;
     Paces paces;
-    OnReturn on_return;
-    StoreConnection connection;
-    StoreLink link;
+    OnStoreReturn on_store_return;
+    HttpConnection connection;
+    OutageTracker outages;
     Pause pause;
     /// The next read doesn't wait at the store: what this box knows is old already, after a rest or a long transfer.
     /// With the wait, a box whose transfer took its lease would refuse on although the new version is in force.
-    bool asks_at_once { false };
+    bool skips_wait { false };
     /// When the box was last suspended until.
-    std::optional<Core::Instant> woke_at;
+    std::optional<Core::Instant> suspension_ended_at;
     bool is_read_wanted { false };
     /// The last page ended before the end of the log.
     bool is_behind { false };
     /// In a row, up to now.
     unsigned failures { 0 };
     /// The store gave no answer to the last call, or refused it.
-    bool is_unanswered { false };
+    bool has_failed { false };
     StoreFollower const* first_to_retry { nullptr };
     bool is_stopped { false };
 };
--- a/Libraries/LibGateway/UsageReporter.cpp
+++ b/Libraries/LibGateway/UsageReporter.cpp
@@ -17,7 +17,7 @@
     return static_cast<std::uint64_t>(Core::wall_clock_milliseconds() * microseconds_per_millisecond);
 }
 
-std::uint64_t sum_of(Leader::AccountCounts const& counts)
+std::uint64_t total_of(Leader::AccountCounts const& counts)
 {
     std::uint64_t sum = 0;
     for (auto const& [account, requests] : counts)
@@ -46,30 +46,30 @@
     this->connection.set_address(this->settings.address);
 }
 
-Core::Duration UsageReporter::tell_interval() const
+Core::Duration UsageReporter::send_interval() const
 {
-    auto const interval = Core::from_seconds(static_cast<double>(this->boxes.size()) / boxes_told_a_second);
-    return std::clamp(interval, shortest_tell_interval, longest_tell_interval);
+    auto const interval = Core::from_seconds(static_cast<double>(this->boxes.size()) / max_messages_per_second);
+    return std::clamp(interval, min_send_interval, max_send_interval);
 }
 
 Core::Duration UsageReporter::settling_time() const
 {
     // NOTE: A little more than two tellings, since one datagram may be lost.
-    return 2 * this->tell_interval() + tick;
+    return 2 * this->send_interval() + check_interval;
 }
 
-Task<void> UsageReporter::tell()
+Task<void> UsageReporter::send_counts()
 {
     for (;;) {
-        co_await sleep_for(this->tell_interval());
-        this->tell_now();
+        co_await sleep_for(this->send_interval());
+        this->send_counts_now();
     }
 }
 
-void UsageReporter::tell_now()
+void UsageReporter::send_counts_now()
 {
     auto const leader = this->leadership.leader(monotonic_now());
-    if (this->leadership.leads() || !leader)
+    if (this->leadership.is_leader() || !leader)
         return;
     Leader::UsageMessage message { this->process, {}, wall_clock_microseconds() };
     auto const& windows = this->state.usage.windows();
@@ -77,7 +77,7 @@
     this->send_to_box(leader->address, Leader::encode(message));
 }
 
-void UsageReporter::hear(Leader::UsageMessage const& message)
+void UsageReporter::receive(Leader::UsageMessage const& message)
 {
     this->ledger.take(message.process, message.windows);
     this->state.clock.hear(message.process, message.wall_unix_microseconds, monotonic_now());
@@ -86,7 +86,7 @@
 Task<void> UsageReporter::report()
 {
     for (;;) {
-        co_await sleep_for(tick);
+        co_await sleep_for(check_interval);
         if (!co_await this->leadership.may_act())
             continue;
         auto const now = monotonic_now();
@@ -103,16 +103,16 @@
 {
     this->term = this->leadership.identity().fencing_token;
     this->next_window = this->leadership.first_window();
-    this->platform_lost_since.reset();
+    this->platform_unreachable_since.reset();
     this->ledger.forget_before(this->next_window);
     // NOTE: What an earlier leader wrote down may not have been sent; sent twice it counts once.
-    std::erase_if(this->taken, [this, now](auto const window) { return this->is_over(window, now); });
+    std::erase_if(this->accepted_windows, [this, now](auto const window) { return this->is_over(window, now); });
 }
 
 bool UsageReporter::is_over(std::uint64_t window, Instant now) const
 {
     auto const due = Leader::end_of_window(window, this->settings.usage_window)
-        + static_cast<std::uint64_t>((this->settings.usage_due + longest_delay).count());
+        + static_cast<std::uint64_t>((this->settings.usage_due + max_report_delay).count());
     return this->state.clock.unix_microseconds(now) > due;
 }
 
@@ -129,7 +129,7 @@
     auto const ended_at = Leader::end_of_window(this->next_window, this->settings.usage_window);
     auto const settled_at = ended_at + static_cast<std::uint64_t>(this->settling_time().count());
     if (this->state.clock.unix_microseconds(now) < settled_at
-        || now - this->leadership.leads_since() < this->settling_time())
+        || now - this->leadership.leader_since() < this->settling_time())
         co_return;
     this->ledger.take(this->process, this->state.usage.windows());
     auto const window = this->next_window;
@@ -139,7 +139,7 @@
     Log::EventLine("usage_written")
         .with("window", window)
         .with("accounts", counts.size())
-        .with("requests", sum_of(counts))
+        .with("requests", total_of(counts))
         .with("processes", this->ledger.processes(window))
         .with("ended_ms_ago",
             Core::to_milliseconds(Core::Duration {
@@ -156,7 +156,7 @@
     // NOTE: A copy, since the log may be read anew while a report is under way.
     auto const reports = this->leadership.log().reports();
     for (auto const& [window, counts] : reports) {
-        if (this->taken.contains(window) || this->is_over(window, now))
+        if (this->accepted_windows.contains(window) || this->is_over(window, now))
             continue;
         if (!co_await this->leadership.may_act() || !co_await this->send(window, counts))
             co_return;
@@ -168,33 +168,33 @@
     auto const call = Adapter::encode_usage_report(this->leadership.identity(), window, counts);
     Core::LastReason reason;
     auto const answer = co_await this->connection.post(call.target, call.body, timeouts, reason, call.headers);
-    bool const is_taken = answer && answer->status == status_ok;
+    bool const is_accepted = answer && answer->status == status_ok;
     auto const outcome = answer ? "status " + std::to_string(answer->status) : reason.text;
     Log::EventLine("usage_reported")
         .with("window", window)
         .with("token", this->term)
-        .with("requests", sum_of(counts))
-        .with("outcome", is_taken ? "taken" : outcome)
+        .with("requests", total_of(counts))
+        .with("outcome", is_accepted ? "taken" : outcome)
         .info();
-    this->state.metrics.count_usage_report(is_taken ? "taken" : answer ? "refused" : "no-answer");
+    this->state.metrics.count_usage_report(is_accepted ? "taken" : answer ? "refused" : "no-answer");
     bool const is_superseded = answer && Adapter::says_conflict(answer->status);
-    this->note_platform(is_taken || is_superseded, monotonic_now());
+    this->note_platform_call(is_accepted || is_superseded, monotonic_now());
     if (is_superseded)
         co_await this->leadership.was_superseded();
-    if (is_taken)
-        this->taken.insert(window);
-    co_return is_taken;
+    if (is_accepted)
+        this->accepted_windows.insert(window);
+    co_return is_accepted;
 }
 
-void UsageReporter::note_platform(bool is_answered, Instant now)
+void UsageReporter::note_platform_call(bool is_answered, Instant now)
 {
     if (is_answered) {
-        this->platform_lost_since.reset();
+        this->platform_unreachable_since.reset();
         return;
     }
-    if (!this->platform_lost_since)
-        this->platform_lost_since = now;
-    if (now - *this->platform_lost_since >= longest_platform_loss && this->boxes.size() > 1)
+    if (!this->platform_unreachable_since)
+        this->platform_unreachable_since = now;
+    if (now - *this->platform_unreachable_since >= max_platform_outage && this->boxes.size() > 1)
         this->leadership.step_down("the platform takes no calls of this box");
 }
 
--- a/Libraries/LibGateway/UsageReporter.h
+++ b/Libraries/LibGateway/UsageReporter.h
@@ -17,11 +17,11 @@
         std::uint64_t process, Adapter::LeaderSettings settings, Leadership::SendToBox send);
 
     /// Run until the event loop is stopped.
-    [[nodiscard]] Task<void> tell();
+    [[nodiscard]] Task<void> send_counts();
     [[nodiscard]] Task<void> report();
-    void hear(Leader::UsageMessage const& message);
+    void receive(Leader::UsageMessage const& message);
     /// Tells the leader what this box has counted, once.
-    void tell_now();
+    void send_counts_now();
     void set_settings(Adapter::LeaderSettings changed);
 
 private:
@@ -33,22 +33,22 @@
     void begin_term(Core::Instant now);
     /// Leaves out windows whose time is over.
     void skip_missed(Core::Instant now);
-    void note_platform(bool is_answered, Core::Instant now);
-    [[nodiscard]] Core::Duration tell_interval() const;
+    void note_platform_call(bool is_answered, Core::Instant now);
+    [[nodiscard]] Core::Duration send_interval() const;
     /// How long after a window's end, or after this box took the lead, all boxes have told what they counted.
     [[nodiscard]] Core::Duration settling_time() const;
     [[nodiscard]] bool is_over(std::uint64_t window, Core::Instant now) const;
 
-    static constexpr Core::Duration tick { std::chrono::milliseconds(250) };
+    static constexpr Core::Duration check_interval { std::chrono::milliseconds(250) };
     /// What a box has counted since it last told is lost with it.
-    static constexpr Core::Duration shortest_tell_interval { std::chrono::milliseconds(800) };
-    static constexpr Core::Duration longest_tell_interval { std::chrono::seconds(3) };
+    static constexpr Core::Duration min_send_interval { std::chrono::milliseconds(800) };
+    static constexpr Core::Duration max_send_interval { std::chrono::seconds(3) };
     /// So many boxes a second tell the leader at the most, some 100 bytes each, unless there are very many.
-    static constexpr double boxes_told_a_second = 100;
+    static constexpr double max_messages_per_second = 100;
     /// For so long after a report was due the platform is tried again: it may still count.
-    static constexpr Core::Duration longest_delay { std::chrono::seconds(5) };
+    static constexpr Core::Duration max_report_delay { std::chrono::seconds(5) };
     /// A leader that the platform doesn't answer for so long lets another box try.
-    static constexpr Core::Duration longest_platform_loss { std::chrono::seconds(3) };
+    static constexpr Core::Duration max_platform_outage { std::chrono::seconds(3) };
     static constexpr CallTimeouts timeouts { std::chrono::milliseconds(1500), std::chrono::milliseconds(1000) };
 
     GatewayState& state;
@@ -57,14 +57,14 @@
     std::uint64_t process;
     Adapter::LeaderSettings settings;
     Leadership::SendToBox send_to_box;
-    StoreConnection connection;
+    HttpConnection connection;
     Leader::UsageLedger ledger;
     /// The term that the rest is of, by its token.
     std::uint64_t term { 0 };
     std::uint64_t next_window { 0 };
     /// Windows whose report the platform has taken.
-    std::set<std::uint64_t> taken;
-    std::optional<Core::Instant> platform_lost_since;
+    std::set<std::uint64_t> accepted_windows;
+    std::optional<Core::Instant> platform_unreachable_since;
 };
 
 }
--- a/Libraries/LibGateway/WholeTopic.h
+++ b/Libraries/LibGateway/WholeTopic.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/StoreConnection.h>
+#include <LibGateway/HttpConnection.h>
 #include <platform/StoreRecords.h>
 
 #include <algorithm>
--- a/Tests/LibGateway/ScriptedStore.h
+++ b/Tests/LibGateway/ScriptedStore.h
@@ -104,14 +104,14 @@
 /// A follower of one topic before a scripted store.
 struct Follower {
     Follower(
-        Adapter::Topic topic, FakeStore::Script script, bool knows_boxes = true, StoreFollower::Pace pace = at_once)
+        Adapter::Topic topic, FakeStore::Script script, bool without_relay = true, StoreFollower::Pace pace = at_once)
         : state(this->context, Routing::RouterSettings {}, 1)
         , records(this->state, "box", "domain", 1)
         , source("box", "domain", {})
         , store(this->context, std::move(script))
         , follower(this->state, this->records, this->source, this->store.address(), topic, { pace, pace })
     {
-        if (knows_boxes)
+        if (without_relay)
             this->source.boxes_unknown();
         asio::co_spawn(
             this->context, [this] { return this->follower.run(); }, asio::detached);
--- a/Tests/LibGateway/TestBoxRegistry.cpp
+++ b/Tests/LibGateway/TestBoxRegistry.cpp
@@ -33,13 +33,13 @@
 }
 
 /// A box that keeps its record in a scripted store.
-struct Registered {
-    Registered(BoxRegistry::Start start, FakeStore::Script script)
+struct RegisteredBox {
+    RegisteredBox(BoxRegistry::Start start, FakeStore::Script script)
         : state(this->context, Routing::RouterSettings {}, 1)
         , source("box", "domain", {})
         , store(this->context, std::move(script))
         , registry(
-              this->state, this->source, this->store.address(), own_record(), [this] { ++this->told; }, 1)
+              this->state, this->source, this->store.address(), own_record(), [this] { ++this->list_updates; }, 1)
     {
         asio::co_spawn(
             this->context, [this, start] { return this->registry.run(start); }, asio::detached);
@@ -51,10 +51,10 @@
     FakeStore store;
     BoxRegistry registry;
     /// How often the list of boxes was taken, or found to be out of reach.
-    int told { 0 };
+    int list_updates { 0 };
 };
 
-std::optional<Answer> always_full(std::string const& target)
+std::optional<Answer> answer_with_full_list(std::string const& target)
 {
     return Answer { 200, begins_with(target, "/log-newest") ? full_list() : std::string("{}") };
 }
@@ -63,8 +63,8 @@
 
 TEST_CASE("where all boxes start for the first time each writes its record, then reads the list once")
 {
-    Registered box(BoxRegistry::Start::OfAllBoxes, always_full);
-    REQUIRE(run_until(box.context, [&] { return box.told > 0; }));
+    RegisteredBox box(BoxRegistry::Start::OfAllBoxes, answer_with_full_list);
+    REQUIRE(run_until(box.context, [&] { return box.list_updates > 0; }));
     REQUIRE(box.store.targets.size() == 2);
     CHECK(begins_with(box.store.targets[0], "/log-append"));
     CHECK(begins_with(box.store.targets[1], "/log-newest"));
@@ -73,8 +73,8 @@
 
 TEST_CASE("a box that starts again and finds its record makes one call")
 {
-    Registered box(BoxRegistry::Start::OfThisBox, always_full);
-    REQUIRE(run_until(box.context, [&] { return box.told > 0; }));
+    RegisteredBox box(BoxRegistry::Start::OfThisBox, answer_with_full_list);
+    REQUIRE(run_until(box.context, [&] { return box.list_updates > 0; }));
     CHECK(box.store.targets.size() == 1);
     CHECK(begins_with(box.store.targets[0], "/log-newest"));
 }
@@ -82,11 +82,11 @@
 TEST_CASE("a box that is not listed writes its record and reads the list again soon")
 {
     bool is_written = false;
-    Registered box(BoxRegistry::Start::OfThisBox, [&](std::string const& target) -> std::optional<Answer> {
+    RegisteredBox box(BoxRegistry::Start::OfThisBox, [&](std::string const& target) -> std::optional<Answer> {
         is_written |= begins_with(target, "/log-append");
         return Answer { 200, is_written ? full_list() : nothing_newest };
     });
-    REQUIRE(run_until(box.context, [&] { return box.told > 1; }));
+    REQUIRE(run_until(box.context, [&] { return box.list_updates > 1; }));
     REQUIRE(box.store.targets.size() == 3);
     CHECK(begins_with(box.store.targets[1], "/log-append"));
     CHECK(box.source.boxes().size() == 4);
@@ -94,8 +94,8 @@
 
 TEST_CASE("a box whose list can't be read says so, so that it reads the store itself")
 {
-    Registered box(BoxRegistry::Start::OfThisBox, [](std::string const&) { return Answer { 503, "" }; });
-    REQUIRE(run_until(box.context, [&] { return box.told > 0; }));
+    RegisteredBox box(BoxRegistry::Start::OfThisBox, [](std::string const&) { return Answer { 503, "" }; });
+    REQUIRE(run_until(box.context, [&] { return box.list_updates > 0; }));
     CHECK(box.source.boxes().size() == 0);
     CHECK(box.source.reads_store(Core::monotonic_now()));
 }
--- a/Tests/LibGateway/TestControlRecords.cpp
+++ b/Tests/LibGateway/TestControlRecords.cpp
@@ -52,8 +52,8 @@
     {
         this->records.set_next(Adapter::Topic::Operator, 10);
         this->records.set_next(Adapter::Topic::Endpoints, 20);
-        this->records.take_operator_records({ configuration(version) }, asked_at, Coverage::WholeList);
-        this->records.take_endpoint_records(endpoints, asked_at, Coverage::WholeList);
+        this->records.apply_operator_records({ configuration(version) }, asked_at, Coverage::WholeList);
+        this->records.apply_endpoint_records(endpoints, asked_at, Coverage::WholeList);
     }
 
     [[nodiscard]] std::uint64_t version() const { return this->state.router.configuration()->version(); }
@@ -63,12 +63,12 @@
     ControlRecords records;
 };
 
-/// One question of a box to a relay. The relay's clock is the asker's here; answers take no time.
-bool ask(Box& asker, Box& relay, Instant now, std::size_t longest_configuration = any_length)
+/// One question of a box to a relay. The relay's clock is the requester's here; answers take no time.
+bool ask(Box& requester, Box& relay, Instant now, std::size_t max_configuration_bytes = any_length)
 {
-    auto const answer = relay.records.answer(asker.records.question(now), longest_configuration, now);
+    auto const answer = relay.records.answer(requester.records.request(now), max_configuration_bytes, now);
     REQUIRE(answer);
-    return asker.records.take_relayed(*answer, "a", now);
+    return requester.records.apply_relayed(*answer, "a", now);
 }
 
 /// What a relay with version 7 answers at 1100 ms to a box that read version 6 at the moment given.
@@ -76,7 +76,7 @@
 {
     relay.read(7, {}, at(1000));
     box.read(6, {}, box_read_at);
-    auto answer = relay.records.answer(box.records.question(at(1100)), any_length, at(1100));
+    auto answer = relay.records.answer(box.records.request(at(1100)), any_length, at(1100));
     REQUIRE(answer);
     return *answer;
 }
@@ -99,17 +99,17 @@
     CHECK(box.state.router.endpoint_count() == 2);
     CHECK(box.state.router.configuration_age(at(1400)) == std::chrono::milliseconds(400));
     CHECK(box.records.next(Adapter::Topic::Endpoints) == std::optional<std::uint64_t>(20));
-    CHECK(box.records.knows_endpoints());
+    CHECK(box.records.has_endpoints());
 
-    relay.records.take_endpoint_records(
+    relay.records.apply_endpoint_records(
         { endpoint("b", "draining"), { "a", std::nullopt } }, at(1500), Coverage::UpToEnd);
     relay.records.confirm_configuration(at(1500));
-    auto const answer = relay.records.answer(box.records.question(at(1600)), any_length, at(1600));
+    auto const answer = relay.records.answer(box.records.request(at(1600)), any_length, at(1600));
     REQUIRE(answer);
     CHECK(!answer->endpoints.is_whole);
     CHECK(answer->endpoints.changes.size() == 2);
     CHECK(!answer->configuration);
-    CHECK(box.records.take_relayed(*answer, "a", at(1600)));
+    CHECK(box.records.apply_relayed(*answer, "a", at(1600)));
     CHECK(box.state.router.endpoint_count() == 1);
     CHECK(box.state.router.configuration_age(at(1600)) == std::chrono::milliseconds(100));
 }
@@ -143,8 +143,8 @@
     Box box(2);
     relay.read(7, { endpoint("a") }, at(1000));
     box.read(6, {}, at(500));
-    constexpr std::size_t shorter_than_any = 4;
-    CHECK(!ask(box, relay, at(1100), shorter_than_any));
+    constexpr std::size_t below_any_configuration = 4;
+    CHECK(!ask(box, relay, at(1100), below_any_configuration));
     CHECK(box.version() == 6);
     CHECK(box.state.router.configuration_age(at(1100)) == std::chrono::milliseconds(600));
     CHECK(box.state.router.trust(at(1100)) == Routing::ConfigurationTrust::Aging);
@@ -157,7 +157,7 @@
     Box box(2);
     relay.read(7, {}, at(1000));
     auto const record = large_configuration(8, 1000);
-    relay.records.take_operator_records({ record }, at(1000), Coverage::UpToEnd);
+    relay.records.apply_operator_records({ record }, at(1000), Coverage::UpToEnd);
     auto const limit = record.value->size() / 5;
     CHECK(ask(box, relay, at(1100), limit));
     CHECK(box.version() == 8);
@@ -180,7 +180,7 @@
     CHECK(bytes_of(relay).get() == first.get());
     CHECK(ask(box, relay, at(1100)));
     CHECK(*bytes_of(box) == *first);
-    relay.records.take_operator_records({ configuration(8) }, at(1200), Coverage::UpToEnd);
+    relay.records.apply_operator_records({ configuration(8) }, at(1200), Coverage::UpToEnd);
     CHECK(bytes_of(relay).get() != first.get());
 }
 
@@ -191,7 +191,7 @@
     Box third(3);
     auto answer = answer_with_version_7(relay, box, at(1000));
     answer.configuration = *configuration(7).value;
-    CHECK(box.records.take_relayed(answer, "a", at(1100)));
+    CHECK(box.records.apply_relayed(answer, "a", at(1100)));
     CHECK(box.version() == 7);
     CHECK(ask(third, box, at(1200)));
     CHECK(third.version() == 7);
@@ -206,7 +206,7 @@
     Core::LastReason reason;
     answer.configuration
         = *Membership::CompressedText::from_bytes(compressed.bytes() + "x", compressed.text_size(), reason);
-    CHECK(!box.records.take_relayed(answer, "a", at(1100)));
+    CHECK(!box.records.apply_relayed(answer, "a", at(1100)));
     CHECK(box.version() == 6);
     CHECK(box.state.router.configuration_age(at(1100)) == std::chrono::milliseconds(600));
     auto const text = box.state.metrics.to_text();
@@ -218,10 +218,10 @@
     Box relay(1);
     Box box(2);
     relay.read(7, {}, at(5000));
-    auto const answer = relay.records.answer(box.records.question(at(1000)), any_length, at(5000));
+    auto const answer = relay.records.answer(box.records.request(at(1000)), any_length, at(5000));
     REQUIRE(answer);
     // Asked at 1000, answered at 5000 and taken later still: the box can't know when the answer was made.
-    CHECK(box.records.take_relayed(*answer, "a", at(1000)));
+    CHECK(box.records.apply_relayed(*answer, "a", at(1000)));
     CHECK(box.state.router.configuration_age(at(9000)) == std::chrono::seconds(8));
 }
 
@@ -235,7 +235,7 @@
     CHECK(ask(box, first, at(1000)));
     CHECK(ask(box, second, at(1200)));
     CHECK(box.state.router.endpoint_count() == 3);
-    auto const answer = first.records.answer(box.records.question(at(1300)), any_length, at(1300));
+    auto const answer = first.records.answer(box.records.request(at(1300)), any_length, at(1300));
     REQUIRE(answer);
     CHECK(answer->endpoints.is_whole);
 }
@@ -256,8 +256,9 @@
 {
     Box relay(1);
     relay.read(1, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e") }, at(1000));
-    auto const share_after = [&](std::string const& asker_domain, Routing::WorkTotals const& work, Instant now) {
-        Membership::ControlQuestion const question { 0, 0, 1, "of " + asker_domain, { { "s", work } }, asker_domain };
+    auto const share_after = [&](std::string const& requester_domain, Routing::WorkTotals const& work, Instant now) {
+        Membership::ControlQuestion const question { 0, 0, 1, "of " + requester_domain, { { "s", work } },
+            requester_domain };
         auto const answer = relay.records.answer(question, any_length, now);
         REQUIRE(answer);
         return relay.state.router.answer_shares(now).at("s");
@@ -280,12 +281,12 @@
     relay.state.router.take_answer_shares({ { "s", 0.5 } }, at(1000));
     box.state.router.take_answer_shares({ { "s", 0.25 } }, at(1000));
     auto const before = box.state.router.answer_shares(at(1050)).at("s");
-    auto const answer = relay.records.answer(box.records.question(at(1100)), any_length, at(1100));
+    auto const answer = relay.records.answer(box.records.request(at(1100)), any_length, at(1100));
     REQUIRE(answer);
     REQUIRE(answer->answer_shares.at("s") != before);
-    CHECK(box.records.take_relayed(*answer, "b", at(1100)));
+    CHECK(box.records.apply_relayed(*answer, "b", at(1100)));
     CHECK(box.state.router.answer_shares(at(1200)).at("s") == before);
-    CHECK(box.records.take_relayed(*answer, "a", at(1100)));
+    CHECK(box.records.apply_relayed(*answer, "a", at(1100)));
     CHECK(box.state.router.answer_shares(at(1200)).at("s") == answer->answer_shares.at("s"));
 }
 
@@ -307,13 +308,13 @@
     {
         CHECK(ask(box, relay, now));
         box.records.store_returned(now);
-        box.records.take_endpoint_records(removal, now, Coverage::UpToEnd);
+        box.records.apply_endpoint_records(removal, now, Coverage::UpToEnd);
         CHECK(box.state.router.endpoint_count() == 1);
     }
     SUBCASE("told by nobody: the entry may have lapsed while the store was away")
     {
         box.records.store_returned(now);
-        box.records.take_endpoint_records(removal, now, Coverage::UpToEnd);
+        box.records.apply_endpoint_records(removal, now, Coverage::UpToEnd);
         CHECK(box.state.router.endpoint_count() == 2);
     }
 }
@@ -333,13 +334,13 @@
     box.read(6, {}, begun);
     relay.read(6, {}, begun);
     reader.read(7, {}, begun);
-    auto const known = Core::monotonic_now();
-    CHECK(ask(relay, reader, after(known, 500)));
-    constexpr std::size_t nothing_that_long = 0;
-    CHECK(!ask(box, relay, after(known, 1100), nothing_that_long));
+    auto const known_at = Core::monotonic_now();
+    CHECK(ask(relay, reader, after(known_at, 500)));
+    constexpr std::size_t no_configuration = 0;
+    CHECK(!ask(box, relay, after(known_at, 1100), no_configuration));
     CHECK(box.version() == 6);
-    CHECK(box.state.router.trust(after(known, 2000)) == Routing::ConfigurationTrust::Aging);
-    CHECK(box.state.router.trust(after(known, 2001)) == Routing::ConfigurationTrust::Expired);
+    CHECK(box.state.router.trust(after(known_at, 2000)) == Routing::ConfigurationTrust::Aging);
+    CHECK(box.state.router.trust(after(known_at, 2001)) == Routing::ConfigurationTrust::Expired);
 }
 
 namespace {
@@ -353,7 +354,7 @@
 }
 
 /// What the box tells others of its endpoints, all that it knows.
-std::vector<Membership::EndpointChange> told_by(Box& box, Instant now)
+std::vector<Membership::EndpointChange> endpoints_sent_by(Box& box, Instant now)
 {
     auto const answer = box.records.answer({}, any_length, now);
     REQUIRE(answer);
@@ -361,7 +362,7 @@
 }
 
 /// The answer as a box tells it that doesn't know of lives.
-Membership::ControlAnswer without_lives(Membership::ControlAnswer answer)
+Membership::ControlAnswer without_start_times(Membership::ControlAnswer answer)
 {
     for (auto& change : answer.endpoints.changes) {
         if (change.record)
@@ -375,28 +376,28 @@
 TEST_CASE("a relay passes the life of an endpoint on, and a box that doesn't know of lives takes none back")
 {
     Box relay(1);
-    Box asker(2);
+    Box requester(2);
     relay.read(7, { started_at("a", 1000) }, at(100));
-    asker.read(7, {}, at(50));
+    requester.read(7, {}, at(50));
     auto const ask = [&](std::int64_t milliseconds) {
         auto const answer
-            = relay.records.answer(asker.records.question(at(milliseconds)), any_length, at(milliseconds));
+            = relay.records.answer(requester.records.request(at(milliseconds)), any_length, at(milliseconds));
         REQUIRE(answer);
         return *answer;
     };
-    REQUIRE(asker.records.take_relayed(ask(200), "a", at(200)));
-    CHECK(told_by(asker, at(200)).front().record->started_at == 1000);
+    REQUIRE(requester.records.apply_relayed(ask(200), "a", at(200)));
+    CHECK(endpoints_sent_by(requester, at(200)).front().record->started_at == 1000);
 
-    relay.records.take_endpoint_records({ started_at("a", 2000) }, at(300), Coverage::UpToEnd);
-    REQUIRE(asker.records.take_relayed(ask(400), "a", at(400)));
-    CHECK(told_by(asker, at(400)).front().record->started_at == 2000);
+    relay.records.apply_endpoint_records({ started_at("a", 2000) }, at(300), Coverage::UpToEnd);
+    REQUIRE(requester.records.apply_relayed(ask(400), "a", at(400)));
+    CHECK(endpoints_sent_by(requester, at(400)).front().record->started_at == 2000);
 
     // The same from a relay of an older version, and late word of the life before.
-    relay.records.take_endpoint_records({ endpoint("b") }, at(500), Coverage::UpToEnd);
-    REQUIRE(asker.records.take_relayed(without_lives(ask(600)), "a", at(600)));
-    asker.records.take_endpoint_records({ started_at("a", 1000) }, at(700), Coverage::UpToEnd);
-    CHECK(told_by(asker, at(700)).front().record->started_at == 2000);
-    CHECK(asker.state.router.endpoint_count() == 2);
+    relay.records.apply_endpoint_records({ endpoint("b") }, at(500), Coverage::UpToEnd);
+    REQUIRE(requester.records.apply_relayed(without_start_times(ask(600)), "a", at(600)));
+    requester.records.apply_endpoint_records({ started_at("a", 1000) }, at(700), Coverage::UpToEnd);
+    CHECK(endpoints_sent_by(requester, at(700)).front().record->started_at == 2000);
+    CHECK(requester.state.router.endpoint_count() == 2);
 }
 
 TEST_CASE("an entry that can't be read takes the endpoint away that it named, and the others hold")
@@ -404,15 +405,15 @@
     Box box(1);
     box.read(7, { endpoint("a"), endpoint("b") }, at(100));
     Adapter::KeyedRecord const broken { "a", R"({"service":"s"})" };
-    box.records.take_endpoint_records({ broken, endpoint("c") }, at(200), Coverage::UpToEnd);
+    box.records.apply_endpoint_records({ broken, endpoint("c") }, at(200), Coverage::UpToEnd);
     CHECK(box.state.router.endpoint_count() == 2);
     auto const rejected = [&box] {
         auto const text = box.state.metrics.to_text();
         return text.find("cleatbeam_bad_records_total{kind=\"endpoint\"} 1") != std::string::npos;
     };
     CHECK(rejected());
-    box.records.take_endpoint_records({ endpoint("a") }, at(300), Coverage::UpToEnd);
+    box.records.apply_endpoint_records({ endpoint("a") }, at(300), Coverage::UpToEnd);
     CHECK(box.state.router.endpoint_count() == 3);
-    box.records.take_endpoint_records({ broken, endpoint("b") }, at(400), Coverage::WholeList);
+    box.records.apply_endpoint_records({ broken, endpoint("b") }, at(400), Coverage::WholeList);
     CHECK(box.state.router.endpoint_count() == 1);
 }
--- a/Tests/LibGateway/TestCrashNews.cpp
+++ b/Tests/LibGateway/TestCrashNews.cpp
@@ -1,12 +1,12 @@
 #include <TestMain.h>
 
 #include "LoopbackPair.h"
-#include <LibGateway/CrashNews.h>
+#include <LibGateway/CrashExchange.h>
 #include <algorithm>
 #include <memory>
 
 using namespace Gateway;
-using Audience = CrashNews::Audience;
+using Audience = CrashExchange::Audience;
 
 namespace {
 
@@ -21,15 +21,15 @@
 struct Boxes {
     struct Box {
         explicit Box(asio::io_context& context)
-            : news(context, this->metrics)
+            : exchange(context, this->metrics)
         {
         }
         GatewayMetrics metrics;
-        CrashNews news;
+        CrashExchange exchange;
         /// Nothing that others tell reaches it.
         bool is_cut_off { false };
         /// Pieces of news that it told to all.
-        std::size_t told_to_all { 0 };
+        std::size_t entries_sent_to_all { 0 };
     };
 
     explicit Boxes(std::size_t count)
@@ -37,26 +37,26 @@
         for (std::size_t index = 0; index < count; ++index)
             this->boxes.push_back(std::make_unique<Box>(this->context));
         for (auto& box : this->boxes) {
-            box->news.set_ways([this, teller = box.get()](
-                                   auto const& bytes, Audience audience) { this->pass_on(*teller, bytes, audience); },
-                [this](auto const& key, auto const& value) { this->keep(key, value); });
-            asio::co_spawn(this->context, box->news.run(), asio::detached);
+            box->exchange.set_transport([this, sender = box.get()](auto const& bytes,
+                                            Audience audience) { this->deliver(*sender, bytes, audience); },
+                [this](auto const& key, auto const& value) { this->write(key, value); });
+            asio::co_spawn(this->context, box->exchange.run(), asio::detached);
         }
     }
 
-    void pass_on(Box& teller, std::string const& bytes, Audience audience)
+    void deliver(Box& sender, std::string const& bytes, Audience audience)
     {
         auto const message = Membership::decode_crashes(bytes);
         REQUIRE(message);
         if (audience == Audience::AllBoxes)
-            teller.told_to_all += message->crashes.size() + message->cleared.size() + message->answering.size();
+            sender.entries_sent_to_all += message->crashes.size() + message->cleared.size() + message->answering.size();
         for (auto& box : this->boxes) {
-            if (box.get() != &teller && !box->is_cut_off)
-                box->news.hear(*message);
+            if (box.get() != &sender && !box->is_cut_off)
+                box->exchange.receive(*message);
         }
     }
 
-    void keep(std::string const& key, std::optional<std::string> const& value)
+    void write(std::string const& key, std::optional<std::string> const& value)
     {
         ++this->writes;
         if (value)
@@ -74,17 +74,17 @@
         REQUIRE(run_until(this->context, [&] { return is_over; }));
     }
 
-    CrashNews& news(std::size_t index) { return this->boxes.at(index)->news; }
+    CrashExchange& exchange(std::size_t index) { return this->boxes.at(index)->exchange; }
 
-    [[nodiscard]] unsigned crashes_known_at(std::size_t index) { return this->news(index).verdict(request).crashes; }
-    [[nodiscard]] bool refused_at(std::size_t index)
+    [[nodiscard]] unsigned crashes_at(std::size_t index) { return this->exchange(index).status(request).crashes; }
+    [[nodiscard]] bool is_refused_at(std::size_t index)
     {
-        return this->news(index).verdict(request).refused_for.has_value();
+        return this->exchange(index).status(request).refused_for.has_value();
     }
-    [[nodiscard]] bool all_know(unsigned crashes)
+    [[nodiscard]] bool all_count(unsigned crashes)
     {
         for (std::size_t index = 0; index < this->boxes.size(); ++index) {
-            if (this->crashes_known_at(index) != crashes)
+            if (this->crashes_at(index) != crashes)
                 return false;
         }
         return true;
@@ -94,8 +94,8 @@
     void crash_three_times()
     {
         for (unsigned count = 1; count <= Routing::CrashLedger::most_crashes; ++count) {
-            this->news(0).crashed({ request, endpoint(static_cast<int>(count)), count });
-            REQUIRE(run_until(this->context, [&] { return this->boxes[1]->is_cut_off || this->all_know(count); }));
+            this->exchange(0).report_crash({ request, endpoint(static_cast<int>(count)), count });
+            REQUIRE(run_until(this->context, [&] { return this->boxes[1]->is_cut_off || this->all_count(count); }));
         }
     }
 
@@ -112,15 +112,15 @@
     Boxes boxes(4);
     boxes.crash_three_times();
     for (std::size_t index = 0; index < boxes.boxes.size(); ++index)
-        CHECK(boxes.refused_at(index));
+        CHECK(boxes.is_refused_at(index));
     CHECK(boxes.writes == 1);
     CHECK(boxes.store.size() == 1);
 
     asio::io_context context;
     Boxes::Box started(context);
     for (auto const& [key, value] : boxes.store)
-        started.news.take_stored(key, value);
-    CHECK(started.news.verdict(request).refused_for.has_value());
+        started.exchange.apply_stored(key, value);
+    CHECK(started.exchange.status(request).refused_for.has_value());
 }
 
 TEST_CASE("news that a box missed is told to it again, also when only the refused request is left to tell")
@@ -128,20 +128,20 @@
     Boxes boxes(3);
     boxes.boxes[1]->is_cut_off = true;
     boxes.crash_three_times();
-    // All three tellings of each crash are lost to it.
-    constexpr std::size_t tellings = 9;
-    REQUIRE(run_until(boxes.context, [&] { return boxes.boxes[0]->told_to_all >= tellings; }));
-    CHECK(boxes.crashes_known_at(1) == 0);
+    // All three sends of each crash are lost to it.
+    constexpr std::size_t sends = 9;
+    REQUIRE(run_until(boxes.context, [&] { return boxes.boxes[0]->entries_sent_to_all >= sends; }));
+    CHECK(boxes.crashes_at(1) == 0);
     boxes.boxes[1]->is_cut_off = false;
-    CHECK(run_until(boxes.context, [&] { return boxes.refused_at(1); }));
+    CHECK(run_until(boxes.context, [&] { return boxes.is_refused_at(1); }));
 }
 
 TEST_CASE("a run that ends well at one box clears the request at all, and in the store")
 {
     Boxes boxes(3);
     boxes.crash_three_times();
-    boxes.news(2).ran_well(request);
-    CHECK(run_until(boxes.context, [&] { return boxes.all_know(0); }));
+    boxes.exchange(2).report_success(request);
+    CHECK(run_until(boxes.context, [&] { return boxes.all_count(0); }));
     CHECK(boxes.store.empty());
 }
 
@@ -150,12 +150,12 @@
     Boxes boxes(3);
     boxes.crash_three_times();
     boxes.boxes[1]->is_cut_off = true;
-    boxes.news(2).ran_well(request);
-    constexpr std::size_t tellings = 3;
-    REQUIRE(run_until(boxes.context, [&] { return boxes.boxes[2]->told_to_all >= tellings; }));
-    REQUIRE(boxes.refused_at(1));
+    boxes.exchange(2).report_success(request);
+    constexpr std::size_t sends = 3;
+    REQUIRE(run_until(boxes.context, [&] { return boxes.boxes[2]->entries_sent_to_all >= sends; }));
+    REQUIRE(boxes.is_refused_at(1));
     boxes.boxes[1]->is_cut_off = false;
-    CHECK(run_until(boxes.context, [&] { return boxes.all_know(0); }));
+    CHECK(run_until(boxes.context, [&] { return boxes.all_count(0); }));
 }
 
 TEST_CASE("an endpoint that answers one box takes its crash back at all: a box that was cut off saw wrong")
@@ -163,36 +163,36 @@
     Boxes boxes(3);
     boxes.crash_three_times();
     auto const now = Core::monotonic_now();
-    boxes.news(2).answered(endpoint(3), { now - std::chrono::minutes(1), now + std::chrono::seconds(1) });
-    CHECK(run_until(boxes.context, [&] { return boxes.all_know(2); }));
-    CHECK_FALSE(boxes.refused_at(0));
+    boxes.exchange(2).endpoint_answered(endpoint(3), { now - std::chrono::minutes(1), now + std::chrono::seconds(1) });
+    CHECK(run_until(boxes.context, [&] { return boxes.all_count(2); }));
+    CHECK_FALSE(boxes.is_refused_at(0));
 }
 
 TEST_CASE("a run that decides about a request keeps all boxes from beginning another one, for as long as it lasts")
 {
     Boxes boxes(3);
-    boxes.news(0).crashed({ request, endpoint(1), 1 });
-    REQUIRE(run_until(boxes.context, [&] { return boxes.all_know(1); }));
-    boxes.news(1).probe_began(request);
-    CHECK(boxes.news(1).verdict(request).is_probed);
-    auto const all_wait = [&](bool expected) {
+    boxes.exchange(0).report_crash({ request, endpoint(1), 1 });
+    REQUIRE(run_until(boxes.context, [&] { return boxes.all_count(1); }));
+    boxes.exchange(1).probe_began(request);
+    CHECK(boxes.exchange(1).status(request).is_probed);
+    auto const all_probed = [&](bool expected) {
         return std::ranges::all_of(
-            boxes.boxes, [&](auto& box) { return box->news.verdict(request).is_probed == expected; });
+            boxes.boxes, [&](auto& box) { return box->exchange.status(request).is_probed == expected; });
     };
-    REQUIRE(run_until(boxes.context, [&] { return all_wait(true); }));
+    REQUIRE(run_until(boxes.context, [&] { return all_probed(true); }));
     SUBCASE("also past the lease, and no longer than until it ends")
     {
         boxes.run_for(Routing::CrashLedger::probe_lease + std::chrono::milliseconds(500));
-        CHECK(all_wait(true));
-        boxes.news(1).probe_ended(request);
-        CHECK(run_until(boxes.context, [&] { return all_wait(false); }));
+        CHECK(all_probed(true));
+        boxes.exchange(1).probe_ended(request);
+        CHECK(run_until(boxes.context, [&] { return all_probed(false); }));
     }
     SUBCASE("not past the lease where its box is not heard any more")
     {
         boxes.boxes[0]->is_cut_off = true;
         boxes.run_for(Routing::CrashLedger::probe_lease + std::chrono::milliseconds(500));
-        CHECK_FALSE(boxes.news(0).verdict(request).is_probed);
-        CHECK(boxes.news(2).verdict(request).is_probed);
+        CHECK_FALSE(boxes.exchange(0).status(request).is_probed);
+        CHECK(boxes.exchange(2).status(request).is_probed);
     }
 }
 
@@ -202,10 +202,10 @@
     Boxes::Box box(context);
     Membership::TimedCrash const crash { { request, endpoint(1), 3 }, Core::Duration { 0 } };
     auto const record = Membership::encode_record(crash, Core::wall_clock_milliseconds());
-    box.news.take_stored(Membership::crash_key({ 1, 8 }), record);
-    box.news.take_stored(Membership::crash_key(request), "no record");
-    box.news.take_stored("crash/", "");
-    CHECK(box.news.refused_count() == 0);
-    box.news.take_stored(Membership::crash_key(request), record);
-    CHECK(box.news.refused_count() == 1);
+    box.exchange.apply_stored(Membership::crash_key({ 1, 8 }), record);
+    box.exchange.apply_stored(Membership::crash_key(request), "no record");
+    box.exchange.apply_stored("crash/", "");
+    CHECK(box.exchange.refused_count() == 0);
+    box.exchange.apply_stored(Membership::crash_key(request), record);
+    CHECK(box.exchange.refused_count() == 1);
 }
--- a/Tests/LibGateway/TestCrashedEndpoint.cpp
+++ b/Tests/LibGateway/TestCrashedEndpoint.cpp
@@ -20,17 +20,17 @@
 }
 
 /// What other boxes told of the body's request.
-void hold_against(Exchange& request, std::string const& body, unsigned crashes)
+void receive_crash_report(Exchange& request, std::string const& body, unsigned crashes)
 {
     Membership::CrashMessage message;
     message.crashes.push_back(
         { { fingerprint(body), { "elsewhere", 1 }, crashes }, Core::Duration { std::chrono::seconds(1) } });
-    request.state.crash_news.hear(message);
+    request.state.crash_news.receive(message);
 }
 
-unsigned crashes_known(Exchange const& request, std::string const& body)
+unsigned crash_count(Exchange const& request, std::string const& body)
 {
-    return request.state.crash_news.verdict(fingerprint(body)).crashes;
+    return request.state.crash_news.status(fingerprint(body)).crashes;
 }
 
 }
@@ -44,8 +44,8 @@
         crash(*request.endpoints[request.arrival()]);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 502 "));
-        CHECK(request.reach([&] { return crashes_known(request, "body") == 1; }));
-        CHECK(crashes_known(request, "other body") == 0);
+        CHECK(request.reach([&] { return crash_count(request, "body") == 1; }));
+        CHECK(crash_count(request, "other body") == 0);
     }
     SUBCASE("in the middle of a stream")
     {
@@ -56,7 +56,7 @@
         REQUIRE(request.reach([&] { return !request.endpoints[index]->connections.empty(); }));
         crash(*request.endpoints[index]);
         REQUIRE(request.ends());
-        CHECK(request.reach([&] { return crashes_known(request, "body") == 1; }));
+        CHECK(request.reach([&] { return crash_count(request, "body") == 1; }));
     }
 }
 
@@ -68,7 +68,7 @@
     request.endpoints[request.arrival()]->answer(whole_answer);
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
-    CHECK(crashes_known(request, "body") == 0);
+    CHECK(crash_count(request, "body") == 0);
 }
 
 TEST_CASE("an endpoint that leaves and ends as planned is not held against the request")
@@ -82,7 +82,7 @@
     REQUIRE(request.ends());
     auto const checks = [&] { return request.state.metrics.to_text().find("endpoint_now=\"refuses\"} 1"); };
     REQUIRE(request.reach([&] { return checks() != std::string::npos; }));
-    CHECK(crashes_known(request, "body") == 0);
+    CHECK(crash_count(request, "body") == 0);
 }
 
 TEST_CASE("a repeatable request goes on to a second endpoint after a first crash, and not after another one")
@@ -96,26 +96,26 @@
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
         // The run that ended well clears it.
-        CHECK(crashes_known(request, "body") == 0);
+        CHECK(crash_count(request, "body") == 0);
     }
     SUBCASE("another one")
     {
         Exchange request(RouteKind::Idempotent, 2, 2);
-        hold_against(request, "body", 1);
+        receive_crash_report(request, "body", 1);
         request.start("body");
         crash(*request.endpoints[request.arrival()]);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 502 "));
         CHECK(request.received.find("Retry-After") == std::string::npos);
         CHECK(request.arrivals() == 1);
-        CHECK(crashes_known(request, "body") == 2);
+        CHECK(crash_count(request, "body") == 2);
     }
 }
 
 TEST_CASE("a request under which three endpoints crashed is refused with the time until it may run again")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 2);
-    hold_against(request, "body", 3);
+    receive_crash_report(request, "body", 3);
     SUBCASE("that request")
     {
         request.start("body");
@@ -136,10 +136,10 @@
 TEST_CASE("while another run of a request that crashed an endpoint decides, the request is told when to come back")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 2);
-    hold_against(request, "body", 1);
+    receive_crash_report(request, "body", 1);
     Membership::CrashMessage message;
     message.probed.push_back(fingerprint("body"));
-    request.state.crash_news.hear(message);
+    request.state.crash_news.receive(message);
     SUBCASE("that request")
     {
         request.start("body");
@@ -160,26 +160,26 @@
 TEST_CASE("a run of a request that crashed an endpoint decides until it has ended and its break is examined")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 2);
-    hold_against(request, "body", 1);
+    receive_crash_report(request, "body", 1);
     request.start("body");
     auto const index = request.arrival();
-    CHECK(request.state.crash_news.verdict(fingerprint("body")).is_probed);
+    CHECK(request.state.crash_news.status(fingerprint("body")).is_probed);
     SUBCASE("well")
     {
         request.endpoints[index]->answer(whole_answer);
         REQUIRE(request.ends());
-        CHECK(crashes_known(request, "body") == 0);
+        CHECK(crash_count(request, "body") == 0);
     }
     SUBCASE("with the endpoint")
     {
         crash(*request.endpoints[index]);
         REQUIRE(request.ends());
-        CHECK(request.reach([&] { return crashes_known(request, "body") == 2; }));
+        CHECK(request.reach([&] { return crash_count(request, "body") == 2; }));
     }
     SUBCASE("with a failure that shows nothing")
     {
         request.endpoints[index]->close();
         REQUIRE(request.ends());
     }
-    CHECK(request.reach([&] { return !request.state.crash_news.verdict(fingerprint("body")).is_probed; }));
+    CHECK(request.reach([&] { return !request.state.crash_news.status(fingerprint("body")).is_probed; }));
 }
--- a/Tests/LibGateway/TestRelayFollower.cpp
+++ b/Tests/LibGateway/TestRelayFollower.cpp
@@ -27,19 +27,19 @@
 
     [[nodiscard]] std::uint16_t port() const { return this->server.port(); }
 
-    int questions { 0 };
+    int requests { 0 };
     /// Pieces after which it says nothing more.
     int silent_after { 1'000'000 };
     /// Connections that the asker gave up before the answer's end.
-    int given_up { 0 };
+    int aborted { 0 };
 
 private:
     Task<bool> answer(tcp::socket& socket)
     {
-        ++this->questions;
+        ++this->requests;
         bool const is_sent = co_await this->send(socket);
         if (!is_sent)
-            ++this->given_up;
+            ++this->aborted;
         co_return is_sent;
     }
 
@@ -81,8 +81,8 @@
 }
 
 /// A box that asks the first of four boxes, which is the scripted relay.
-struct Asker {
-    Asker(std::string body, std::size_t piece_size)
+struct RequestingBox {
+    RequestingBox(std::string body, std::size_t piece_size)
         : state(this->context, Routing::RouterSettings {}, 1)
         , records(this->state, "asker", "domain", 1)
         , source("asker", "domain", { bound, bound })
@@ -120,22 +120,22 @@
 
 }
 
-TEST_CASE("an answer that keeps coming is taken however long it takes, and vouches for when it was asked for")
+TEST_CASE("an answer that keeps coming is accepted however long it takes, and vouches for when it was asked for")
 {
     auto const body = long_answer();
     constexpr int pieces = 20;
-    Asker box(body, body.size() / pieces);
+    RequestingBox box(body, body.size() / pieces);
     REQUIRE(body.size() > 60'000);
     REQUIRE(pieces * between_pieces > box.source.patience());
     auto const asked_at = monotonic_now();
-    REQUIRE(run_until(box.context, [&] { return box.version() == 9 || box.relay.given_up > 0; }));
+    REQUIRE(run_until(box.context, [&] { return box.version() == 9 || box.relay.aborted > 0; }));
     CHECK(box.version() == 9);
     CHECK(box.state.router.endpoint_count() == 1900);
-    CHECK(box.relay.questions == 1);
+    CHECK(box.relay.requests == 1);
     CHECK(box.metrics().find(failed) == std::string::npos);
-    auto const taken = monotonic_now() - asked_at;
-    CHECK(taken > box.source.patience());
-    CHECK(box.state.router.configuration_age(monotonic_now()) > taken - between_pieces);
+    auto const duration = monotonic_now() - asked_at;
+    CHECK(duration > box.source.patience());
+    CHECK(box.state.router.configuration_age(monotonic_now()) > duration - between_pieces);
     CHECK(box.missing == 0);
 }
 
@@ -143,7 +143,7 @@
 {
     auto const body = long_answer();
     constexpr int pieces = 200;
-    Asker box(body, body.size() / pieces);
+    RequestingBox box(body, body.size() / pieces);
     REQUIRE(pieces * between_pieces > 2 * box.source.longest_answer());
     auto const asked_at = monotonic_now();
     auto const is_left = [&] { return box.metrics().find(failed) != std::string::npos; };
@@ -160,7 +160,7 @@
 TEST_CASE("a relay that falls silent in its answer is left after the patience for silence")
 {
     auto const body = long_answer();
-    Asker box(body, body.size() / 2);
+    RequestingBox box(body, body.size() / 2);
     box.relay.silent_after = 1;
     auto const asked_at = monotonic_now();
     auto const is_left = [&] { return box.metrics().find(failed) != std::string::npos; };
--- a/Tests/LibGateway/TestStoreFollower.cpp
+++ b/Tests/LibGateway/TestStoreFollower.cpp
@@ -167,9 +167,9 @@
     });
     REQUIRE(run_until(box.context, [&] { return box.version() == 2 && box.store.targets.size() > 3; }));
     box.follower.set_address(moved.address());
-    auto const told = Core::monotonic_now();
-    REQUIRE(run_until(
-        box.context, [&] { return !moved.targets.empty() || Core::monotonic_now() - told > std::chrono::seconds(2); }));
+    auto const changed_at = Core::monotonic_now();
+    REQUIRE(run_until(box.context,
+        [&] { return !moved.targets.empty() || Core::monotonic_now() - changed_at > std::chrono::seconds(2); }));
     CHECK_FALSE(moved.targets.empty());
 }
 
@@ -231,7 +231,7 @@
     });
     StoreFollower endpoints(box.state, box.records, box.source, endpoints_store.address(), Adapter::Topic::Endpoints,
         { Follower::at_once, Follower::at_once }, [&] { box.follower.wake(); });
-    box.follower.leave_retries_to(endpoints);
+    box.follower.defer_retries_to(endpoints);
     std::vector<Membership::BoxRecord> boxes { { "box", { "127.0.0.1", 1 }, "domain", 1 } };
     for (int number = 0; number < 19; ++number)
         boxes.push_back({ "wide-" + std::to_string(number), { "127.0.0.1", 1 }, "domain", 1000 });
--- a/Tests/LibGateway/TestStoreFromCopy.cpp
+++ b/Tests/LibGateway/TestStoreFromCopy.cpp
@@ -171,11 +171,11 @@
     /// Reads both topics whole, in a history of the store.
     void read(std::uint64_t era_read, int version, Core::Instant asked_at)
     {
-        REQUIRE(this->records.hear_era(era_read, {}, asked_at));
+        REQUIRE(this->records.observe_era(era_read, {}, asked_at));
         this->records.set_next(Adapter::Topic::Operator, 10);
         this->records.set_next(Adapter::Topic::Endpoints, 20);
-        this->records.take_operator_records({ { "config", configuration(version) } }, asked_at, Coverage::WholeList);
-        this->records.take_endpoint_records({}, asked_at, Coverage::WholeList);
+        this->records.apply_operator_records({ { "config", configuration(version) } }, asked_at, Coverage::WholeList);
+        this->records.apply_endpoint_records({}, asked_at, Coverage::WholeList);
     }
 
     [[nodiscard]] std::uint64_t version() const { return this->state.router.configuration()->version(); }
@@ -192,10 +192,10 @@
     auto const now = Core::monotonic_now();
     Box running(1);
     running.read(1, 7, now);
-    REQUIRE(running.records.hear_era(2, {}, now));
+    REQUIRE(running.records.observe_era(2, {}, now));
     Box started(2);
     started.read(2, 5, now);
-    started.records.take_knowledge(running.records.knowledge(now), now);
+    started.records.apply_store_versions(running.records.store_versions(now), now);
     CHECK(started.version() == 5);
     // What the copy doesn't allow may be allowed by the version that it lacks.
     CHECK(started.state.router.trust(now) == Routing::ConfigurationTrust::Aging);
@@ -208,13 +208,13 @@
     auto const now = Core::monotonic_now();
     Box relay(1);
     relay.read(1, 7, now);
-    REQUIRE(relay.records.hear_era(2, {}, now));
+    REQUIRE(relay.records.observe_era(2, {}, now));
     auto const before = relay.records.answer({}, 1'000'000, now);
     REQUIRE(before);
     CHECK(before->store_era == 1);
-    Box asker(2);
-    asker.read(2, 7, now);
-    CHECK_FALSE(asker.records.hear_era(before->store_era, {}, now));
+    Box requester(2);
+    requester.read(2, 7, now);
+    CHECK_FALSE(requester.records.observe_era(before->store_era, {}, now));
     relay.records.set_next(Adapter::Topic::Operator, 4);
     CHECK(relay.records.answer({}, 1'000'000, now)->store_era == 1);
     relay.records.set_next(Adapter::Topic::Endpoints, 4);
@@ -229,8 +229,8 @@
     Box box(1);
     box.read(1, 7, now);
     REQUIRE(box.records.next(Adapter::Topic::Operator));
-    REQUIRE(box.records.hear_era(2, {}, now));
+    REQUIRE(box.records.observe_era(2, {}, now));
     CHECK_FALSE(box.records.next(Adapter::Topic::Operator));
     CHECK_FALSE(box.records.next(Adapter::Topic::Endpoints));
-    CHECK(box.records.knows(Adapter::Topic::Operator));
+    CHECK(box.records.was_read(Adapter::Topic::Operator));
 }
--- a/Tests/LibGateway/TestSuspension.cpp
+++ b/Tests/LibGateway/TestSuspension.cpp
@@ -21,7 +21,7 @@
 constexpr Routing::LeaseBounds bounds { seconds(2), seconds(5) };
 
 /// As the gateway does when the box wakes.
-void connect_wake(Exchange& request)
+void connect_suspension_handler(Exchange& request)
 {
     request.state.on_wake = [&request](Core::Duration) {
         request.state.router.woke(Core::monotonic_now());
@@ -67,7 +67,7 @@
 {
     Exchange request(RouteKind::Idempotent, 1, 1);
     request.use_accounts(settings());
-    connect_wake(request);
+    connect_suspension_handler(request);
     Core::Duration length { 0 };
     SUBCASE("1 s, within the bound for applying changes")
     {
@@ -103,7 +103,7 @@
 {
     Exchange request(RouteKind::Idempotent, 1, 1);
     request.use_accounts(settings());
-    connect_wake(request);
+    connect_suspension_handler(request);
     // Inside the bound for taken-away keys, so only the waking holds it back.
     Core::suspend_for_tests(seconds(3));
     request.state.notice_suspension();
@@ -118,7 +118,7 @@
 TEST_CASE("a request whose time ran out while the box was suspended is answered at once, as one that may have run")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 1);
-    connect_wake(request);
+    connect_suspension_handler(request);
     request.start("body");
     static_cast<void>(request.arrival());
     // The client waits for 30 s.
@@ -132,7 +132,7 @@
 TEST_CASE("an answer that is ready when the box wakes is delivered")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 1);
-    connect_wake(request);
+    connect_suspension_handler(request);
     request.start("body");
     request.endpoints[request.arrival()]->answer(whole_answer);
     Core::suspend_for_tests(seconds(8));
