--- a/Libraries/LibGateway/BoxRegistry.cpp
+++ b/Libraries/LibGateway/BoxRegistry.cpp
@@ -23,7 +23,7 @@
 
 Task<void> BoxRegistry::run(Start start)
 {
-    // NOTE: The compiler destroys a temporary twice that is made of braces in the expression awaited, so it has a name.
+    // NOTE: Named because the compiler destroys a braced temporary in an awaited expression twice.
     Adapter::KeyedRecord const own_record { this->own.name, Membership::encode(this->own) };
     if (start == Start::OfAllBoxes) {
         static_cast<void>(co_await this->write(own_record));
@@ -32,7 +32,7 @@
     unsigned reads = 0;
     for (;;) {
         auto pause = short_pause;
-        // NOTE: All boxes learn of it within a second, so they don't all ask in the same moment.
+        // NOTE: All boxes notice a restored store within a second; the jitter spreads their reads.
         if (std::exchange(this->must_read, false))
             co_await sleep_for(this->with_jitter(short_pause) - short_pause);
         if (auto boxes = co_await this->read_boxes()) {
@@ -132,7 +132,7 @@
     auto answer = co_await this->connection.post(
         Adapter::append_target(Adapter::Topic::Boxes), Adapter::encode_record(record), timeouts, reason);
     answer = this->check_answer(std::move(answer), reason.text);
-    // NOTE: Writing a record twice does no harm, so nothing has to be known of a write whose answer was lost.
+    // NOTE: Writing a record twice does no harm, so a write whose answer was lost is simply repeated.
     Log::EventLine(record.value ? "box_record_written" : "box_record_dropped")
         .with("box", record.key)
         .with("outcome", answer ? "done" : "unknown")
@@ -162,7 +162,7 @@
 
 Core::Duration BoxRegistry::with_jitter(Core::Duration pause)
 {
-    // NOTE: Up to half as long again, so that boxes that started together don't ask together for ever.
+    // NOTE: Up to half the pause is added, so that boxes that started together don't keep calling the store together.
     return pause
         + Core::Duration { std::uniform_int_distribution<Core::Duration::rep>(0, pause.count() / 2)(this->random) };
 }
--- a/Libraries/LibGateway/ControlPlane.cpp
+++ b/Libraries/LibGateway/ControlPlane.cpp
@@ -14,7 +14,7 @@
     return { environment.lease.apply_within, environment.drain_within };
 }
 
-/// Names this process to other boxes; 0 would mean none.
+/// Identifies this process to other boxes; never 0, which stands for none.
 std::uint64_t source_id(std::uint64_t seed)
 {
     pcg64 random(seed);
@@ -46,7 +46,7 @@
     , fleet_policy(fleet)
 {
     this->records.set_apply_within(environment.lease.apply_within);
-    // NOTE: Not the other way round: records of endpoints are short, and must not wait for a long configuration.
+    // NOTE: Not the other way round: endpoint records are short and must not wait for a long configuration.
     this->operator_follower.defer_retries_to(this->endpoints_follower);
     this->records.set_on_new_era([this] {
         this->wake_all();
@@ -71,14 +71,16 @@
 bool ControlPlane::open_listener(Core::LastReason& last_reason)
 {
     if (!this->ports) {
-        // NOTE: Without an address of its own a box is asked by nobody, and it asks nobody either.
+        // NOTE: A box without an address for other boxes can neither be a relay nor use one.
         this->source.boxes_unknown();
         if (this->leader_settings)
-            Log::EventLine("leader_impossible").with("reason", "the settings give no ports between boxes").warning();
+            Log::EventLine("leader_impossible")
+                .with("reason", "the settings contain no ports for other boxes")
+                .warning();
         return true;
     }
     std::optional<tcp::acceptor> acceptor;
-    // NOTE: Counted in a wider type, since the last port may be the highest there is.
+    // NOTE: A wider type than the port's, since the last port may be the highest possible one.
     for (unsigned port = this->ports->first; port <= this->ports->last && !acceptor; ++port)
         acceptor = listen_on(this->state.context, { this->ports->host, static_cast<std::uint16_t>(port) }, last_reason);
     if (!acceptor)
@@ -159,8 +161,8 @@
 
 void ControlPlane::connect_crash_exchange()
 {
-    /// A request that is refused is told on to so many boxes a second by each that knows it, so that a box that missed
-    /// the news knows within a second or two, however many there are.
+    /// Boxes to which each box sends its refused requests every second. A box that missed an update gets it this way
+    /// within a second or two, whatever the number of boxes.
     constexpr std::size_t some_boxes = 3;
     this->state.crash_news.set_transport(
         [this](std::string const& bytes, CrashExchange::Audience audience) {
@@ -189,7 +191,7 @@
         return false;
     this->state.endpoint_news.receive(
         *message, [this, &from](std::string const& answer) { this->loads->send_to_address(from, answer); });
-    // NOTE: Behind what it asked for, since it ends the asker's wait.
+    // NOTE: Sent after the requested notices, since the load report ends the wait of the box that requested them.
     if (message->asks)
         this->loads->send_report(from);
     return true;
@@ -276,7 +278,8 @@
     auto const request = Membership::decode_question(body);
     if (!request)
         return { status_bad_request, "" };
-    // NOTE: A box that stops sends those that rely on it away while it still runs.
+    // NOTE: A stopping box turns requests away early, so that boxes that use it as their relay find another one while
+    // it still runs.
     if (this->state.is_stopping)
         return { status_unavailable, "" };
     auto const now = monotonic_now();
--- a/Libraries/LibGateway/ControlPlane.h
+++ b/Libraries/LibGateway/ControlPlane.h
@@ -11,24 +11,24 @@
 
 namespace Gateway {
 
-/// How this box learns what the platform's store says and passes it on: the followers of the store, the relay it asks,
-/// and what it answers to boxes that ask it.
+/// Keeps this box up to date with the platform's store and with the other boxes: follows the store or a relay, relays
+/// store records to boxes that ask for them, and exchanges load, crash and leader messages.
 class ControlPlane {
 public:
-    /// `fleet` says how servers are ordered; nothing where this box orders none.
+    /// `fleet` is the policy for ordering servers; empty if this box orders none.
     ControlPlane(GatewayState& state, Adapter::BoxEnvironment const& environment,
         std::optional<Leader::FleetPolicy> fleet, std::uint64_t seed);
 
-    /// Listens for other boxes where the platform gives ports for that. False, with a reason, where that fails.
+    /// Listens for other boxes if the platform provides ports for them. False, with a reason, on failure.
     [[nodiscard]] bool open_listener(Core::LastReason& last_reason);
-    /// Begins to read. The tasks run until the event loop is stopped.
+    /// Starts all tasks, which run until the event loop is stopped.
     void start();
     void set_environment(Adapter::BoxEnvironment const& environment);
-    /// The box was suspended until now.
+    /// To be called when the box resumes after a suspension.
     void after_suspension(Core::Instant now);
-    /// The process ends now: others are told what only it knows.
+    /// To be called before the process exits: sends the leader this box's remaining usage counts.
     void prepare_exit();
-    /// Whether the endpoints were read whole at least once.
+    /// Whether the list of endpoints was read completely at least once.
     [[nodiscard]] bool has_endpoints() const { return this->records.has_endpoints(); }
 
 private:
@@ -37,40 +37,39 @@
     [[nodiscard]] ProbeAnswer answer_request(std::string_view path, std::string const& body);
     void connect_crash_exchange();
     void open_leadership(Membership::BoxRecord const& own);
-    /// Takes what came from another box and is no load report. False for bytes that are nothing that it knows.
+    /// Handles a datagram that is no load report. False if it can't be decoded.
     [[nodiscard]] bool handle_message(std::string_view bytes, Routing::SocketAddress const& from);
     void handle_leader_message(Leader::LeaderMessage const& message);
-    /// False for bytes that hold none.
+    /// False if the bytes are no crash message.
     [[nodiscard]] bool handle_crash_message(std::string_view bytes);
-    /// The same.
+    /// False if the bytes are no endpoint notice message.
     [[nodiscard]] bool handle_endpoint_notices(std::string_view bytes, Routing::SocketAddress const& from);
-    /// The list of boxes was read, or could not be.
+    /// Called when the list of boxes was read or could not be read.
     void handle_box_list();
-    /// Asks a few boxes what they know that a box which starts can't learn from the store, and waits for one to answer.
+    /// Asks a few boxes for endpoint notices, which a starting box can't read from the store, and waits for an answer.
     [[nodiscard]] Task<void> request_notices();
     void wake_followers();
-    /// The list of boxes is known now, or known to be out of reach.
+    /// Wakes all tasks that depend on the list of boxes.
     void wake_all();
 
-    /// A read that waits renews the configuration's lease this often. Three fit into the shortest revocation bound of
-    /// the first sites. The pause makes one call of changes that come in quick succession, well inside the 2 s in which
-    /// they must be in force.
+    /// A waiting read renews the configuration's lease this often, so that three reads fit into the shortest revocation
+    /// bound in use. The pause combines changes in quick succession into one call, and is short against the 2 s in
+    /// which a change must be in force.
     static constexpr StoreFollower::Pace operator_pace { std::chrono::milliseconds(1200),
         std::chrono::milliseconds(250) };
-    /// The same for a relay, whose reads serve many boxes.
+    /// Pause between reads of a relay, whose reads serve many boxes.
     static constexpr Core::Duration relay_operator_pause { std::chrono::milliseconds(50) };
-    /// Endpoints write about every second each, so waiting would make a call of each write. The pause leaves room for a
-    /// read that gets no answer and for the next one inside the time in which an endpoint that drains must be left
-    /// alone.
+    /// Endpoints write about once a second each, so a waiting read would return at every write. This share of the bound
+    /// leaves time for one lost read and its retry before a draining endpoint must be left alone.
     static constexpr double share_of_drain_bound = 0.4;
-    /// A configuration is passed on if, compressed, it takes this box's link no longer than this. Passed on to twenty
-    /// boxes it then takes the link 0.2 s, as long as the link of an asker that is twenty times narrower takes for one.
-    /// Longer ones are read from the store by each box.
+    /// A configuration is relayed only if, compressed, it takes this box's link no longer than this; otherwise each box
+    /// reads it from the store. Relaying it to twenty boxes then takes 0.2 s, which is also the time of one transfer
+    /// over a link that is twenty times narrower.
     static constexpr double max_transfer_seconds = 0.010;
-    /// Some thirty times the way to another box and back. A box that starts refuses its clients until then, where those
-    /// it asks are gone.
+    /// About thirty round trips between boxes. A starting box refuses clients until it has an answer, or for this long
+    /// if the boxes that it asked are gone.
     static constexpr Core::Duration max_notice_wait { std::chrono::milliseconds(60) };
-    /// Boxes that may ask this one at the same time: a failure domain at the planned size has 59.
+    /// Connections from other boxes; a failure domain at the planned size has 59 other boxes.
     static constexpr std::size_t max_connections = 256;
 
     GatewayState& state;
@@ -88,12 +87,12 @@
     bool is_first_start;
     bool has_requested_notices { false };
     std::optional<ProbeListener> listener;
-    /// Nothing where other boxes can't reach this one.
+    /// Empty if other boxes can't reach this one.
     std::optional<BoxRegistry> registry;
     std::optional<LoadExchange> loads;
     std::optional<Adapter::LeaderSettings> leader_settings;
     std::optional<Leader::FleetPolicy> fleet_policy;
-    /// Nothing where the platform asks nothing of one box alone.
+    /// Empty if the platform has no duties for a leader.
     std::optional<Leadership> leadership;
     std::optional<UsageReporter> usage;
     std::optional<FleetOperator> fleet;
--- a/Libraries/LibGateway/ControlRecords.cpp
+++ b/Libraries/LibGateway/ControlRecords.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The operator's record as the store holds it; nothing, with a reason, if it can't be had from what a relay sent.
+/// The text of an operator's record; empty, with a reason, if a compressed record can't be decompressed.
 struct ConfigurationText {
     Core::LastReason& reason;
 
@@ -40,7 +40,7 @@
     bool const is_whole = coverage != Coverage::Part;
     bool const is_confirmed = is_whole && (!this->history.is_settling(now) || this->is_rewritten);
     auto const confirmed_at = is_confirmed ? std::optional(asked_at) : std::nullopt;
-    // NOTE: Only the last version matters to a box that catches up; an earlier one does if the last can't be read.
+    // NOTE: A box that catches up needs only the last version, or an earlier one if the last can't be read.
     bool is_taken = false;
     for (auto record = records.rbegin(); record != records.rend() && !is_taken; ++record) {
         if (!Adapter::is_configuration(*record) || !record->value)
@@ -63,8 +63,8 @@
         return false;
     if (!this->history.risen_at())
         return true;
-    // NOTE: A copy may lack the version that took a key away. What this box holds is the newest that was known before,
-    // so it is served until its lease ends; after that only what the operator has written again is proof.
+    // NOTE: The store's older copy may lack the version that revoked a key. This box's configuration is the newest
+    // known version, so it is served until its lease ends; after that only a new write of the operator confirms it.
     bool const is_settled = this->is_rewritten || !this->history.is_settling(now);
     return is_settled && this->version_in_store >= this->version();
 }
@@ -82,7 +82,7 @@
     this->version_in_store = 0;
     this->version_reported = 0;
     this->is_rewritten = false;
-    // NOTE: Entries that are missing may be of endpoints that live, as after any return of the store.
+    // NOTE: As after any outage of the store, missing entries may belong to running endpoints.
     this->store_returned_at = now;
     this->state.router.store_returned(now);
     this->state.router.endpoints_in_doubt();
@@ -156,7 +156,7 @@
     if (auto const* const compressed = std::get_if<Membership::CompressedText>(&*this->configuration_record))
         return *compressed;
     auto compressed = this->compress(std::get<std::string>(*this->configuration_record));
-    // NOTE: The text is not kept beside it: it is eight times as long, and memory at its peak is what a box costs.
+    // NOTE: The text is discarded because it is eight times as long, and a box is sized by its peak memory.
     this->configuration_record = compressed;
     return compressed;
 }
@@ -187,7 +187,7 @@
     for (auto const& record : records) {
         auto decoded = this->decode_endpoint(record);
         if (!decoded) {
-            // NOTE: An entry that can't be read names no endpoint, also where it took the place of one that did.
+            // NOTE: An unreadable entry removes the endpoint that had the same key.
             if (!is_whole_list)
                 this->remove_endpoint(record.key);
             continue;
@@ -265,7 +265,7 @@
 
 void ControlRecords::remove_endpoint(std::string const& incarnation)
 {
-    // NOTE: What is missing just after a return of the store may live and be listed again.
+    // NOTE: Just after an outage of the store, a missing endpoint may be running and be listed again.
     auto const now = monotonic_now();
     bool const may_be_relisted = this->store_returned_at && now - *this->store_returned_at <= stale_list_time;
     auto const* const known = this->journal.find(incarnation);
@@ -289,8 +289,9 @@
 
 void ControlRecords::store_returned(Instant now)
 {
-    // NOTE: Where others told what the store says, only this box's own way to it was away, and no entry can have lapsed
-    // for that. Taken for a return of the store it would keep endpoints in use that have left.
+    // NOTE: If the list was confirmed through other boxes meanwhile, only this box's own connection to the store was
+    // lost, and no entry can have expired because of that. Treating it as an outage of the store would keep endpoints
+    // in use that have left.
     if (this->endpoints_confirmed_at && now - *this->endpoints_confirmed_at < min_expiry_time)
         return;
     this->store_returned_at = now;
@@ -332,7 +333,7 @@
     answer.endpoints = this->journal.changes_since(request.source == this->source ? request.revision : 0);
     answer.endpoints_age = now - *this->endpoints_confirmed_at;
     answer.endpoints_next = *endpoints_next;
-    // NOTE: Until both topics were read anew this box knows the earlier history, and says so.
+    // NOTE: Until both topics were read anew, this box's records belong to the earlier era.
     answer.store_era = std::min(this->endpoints_position.era, this->operator_position.era);
     if (auto const& era_began_at = this->history.risen_at(); era_began_at && answer.store_era == this->era())
         answer.store_era_risen_ago = now - *era_began_at;
@@ -373,11 +374,11 @@
         if (!this->store_returned_at || moment > *this->store_returned_at + same_return)
             this->store_returned(moment);
     }
-    // NOTE: Each failure domain divides the engines by its own demand. One division for all comes too late in bursts,
-    // when who asks whom has just changed: long answers then get too few engines for seconds.
+    // NOTE: Each failure domain divides the engines by its own demand. A common division lags behind in bursts, when
+    // boxes have just changed their relays: long answers then get too few engines for seconds.
     if (relay_domain == this->failure_domain)
         this->state.router.take_answer_shares(answer.answer_shares, asked_at);
-    // NOTE: What this box read itself a moment ago may be newer than what the relay knows.
+    // NOTE: This box may have read newer entries from the store than the relay has.
     if (!this->endpoints_confirmed_at || relayed_endpoints_confirmed_at >= *this->endpoints_confirmed_at)
         this->apply_relayed_endpoints(answer, relayed_endpoints_confirmed_at);
     this->state.router.note_configuration(answer.configuration_version, asked_at,
@@ -405,8 +406,8 @@
     bool const is_of_copy = reported.store_era != 0 && reported.store_era == this->era() && reported.era_risen_ago;
     if (is_of_copy)
         static_cast<void>(this->observe_era(reported.store_era, sent_at - *reported.era_risen_ago, sent_at));
-    // NOTE: Only what the store may have lost: a box that starts can't tell from its first read. A box learns all
-    // else from the store or its relay.
+    // NOTE: Reports matter only for versions that the store may have lost, which a starting box can't detect from its
+    // first read. Otherwise a box gets its configuration from the store or its relay.
     bool const has_started = monotonic_now() - this->started_at > startup_window;
     if ((has_started && !is_of_copy) || reported.configuration_version <= this->version())
         return;
--- a/Libraries/LibGateway/ControlRecords.h
+++ b/Libraries/LibGateway/ControlRecords.h
@@ -12,76 +12,78 @@
 
 namespace Gateway {
 
-/// What of a topic a read brought.
+/// The part of a topic that a read returned.
 enum class Coverage {
     /// The newest record of each key.
     WholeList,
-    /// What was appended, up to the end of the log.
+    /// Appended records up to the end of the log.
     UpToEnd,
-    /// What was appended, and more follows. A page is limited in bytes, so two configurations of half a megabyte take
-    /// two.
-    /// It vouches for nothing: what follows may be older than the read.
+    /// Appended records that end before the end of the log, since a page is limited in bytes: two configurations of
+    /// half a megabyte take two pages. Such a page confirms nothing, because the records that follow may be older than
+    /// the read.
     Part,
 };
 
-/// What this box knows from the platform's store, wherever it heard it from: applies records to the router, and keeps
-/// what is needed to pass them on to other boxes and to go on reading the store where the last reader stopped.
+/// This box's copy of the platform's store, read from the store itself or from other boxes. Applies records to the
+/// router, and keeps what is needed to relay them to other boxes and to resume reading the store.
 class ControlRecords {
 public:
-    /// `source` names this process to other boxes; not 0.
+    /// `source` identifies this process to other boxes and must not be 0.
     ControlRecords(GatewayState& state, std::string box_name, std::string failure_domain, std::uint64_t source);
 
     void set_apply_within(Core::Duration bound) { this->apply_within = bound; }
 
-    // From the store. `asked_at` is when the read was sent; an answer vouches for no later moment.
+    // Records read from the store. `asked_at` is when the read was sent; the answer confirms the records up to that
+    // moment and no later.
     void apply_operator_records(
         std::vector<Adapter::KeyedRecord> const& records, Core::Instant asked_at, Coverage coverage);
     void confirm_configuration(Core::Instant asked_at);
     void apply_endpoint_records(
         std::vector<Adapter::KeyedRecord> const& records, Core::Instant asked_at, Coverage coverage);
-    /// The store answered again at that moment. Entries may have lapsed while it was away, unless the list was known to
-    /// be whole shortly before.
+    /// Called when the store answers again after an outage. Endpoint entries may have expired during the outage, unless
+    /// the list was confirmed shortly before.
     void store_returned(Core::Instant now);
 
-    /// The leader's word, which relays pass on to boxes that it doesn't reach.
+    /// Passes the leader's announcements on to boxes that the leader doesn't reach.
     struct AnnouncementRelay {
         std::function<std::optional<Leadership::RelayedAnnouncement>(Core::Instant now)> own;
         std::function<void(Leadership::RelayedAnnouncement const& relayed)> apply;
     };
     void set_announcement_relay(AnnouncementRelay relay) { this->announcement_relay = std::move(relay); }
 
-    /// Called when the store has come back from a copy, so that it is read anew.
+    /// Called when the store has been restored from an older copy and has to be read anew.
     using OnNewEra = std::function<void()>;
     void set_on_new_era(OnNewEra handler) { this->on_new_era = std::move(handler); }
-    /// The store, or a box that heard of the era's beginning at `era_began_at`, gave an answer of this era. False if it
-    /// is of an earlier one than this box knows, so that nothing in it holds.
+    /// Records that an answer of the store, or a message of another box, belongs to `era`. `era_began_at` is when the
+    /// sender first saw that era, if it saw it begin. Returns false for an earlier era than the current one; the answer
+    /// must then be discarded.
     [[nodiscard]] bool observe_era(std::uint64_t era, std::optional<Core::Instant> era_began_at, Core::Instant now);
-    /// The history of the store that this box knows of; 0 for none.
+    /// The store's current era, which changes when the store is restored from an older copy; 0 if unknown.
     [[nodiscard]] std::uint64_t era() const { return this->history.era(); }
 
-    /// Where to go on reading a topic; nothing until it was read whole, in the history of the store that is known.
+    /// The offset at which to resume reading a topic; empty until the topic was read completely in the current era.
     [[nodiscard]] std::optional<std::uint64_t> next(Adapter::Topic topic) const;
     void set_next(Adapter::Topic topic, std::optional<std::uint64_t> offset);
-    /// Whether the topic was read whole at least once, in whatever history.
+    /// Whether the topic was read completely at least once, in any era.
     [[nodiscard]] bool was_read(Adapter::Topic topic) const { return this->position(topic).offset.has_value(); }
 
-    // Between boxes.
+    // Messages between boxes and their relays.
     [[nodiscard]] Membership::ControlQuestion request(Core::Instant now) const;
-    /// Nothing until both topics were read whole. A configuration that takes more than `max_configuration_bytes` bytes
-    /// when compressed is left out. The first answer that holds a version compresses it, so only a box that is asked
-    /// does.
+    /// The answer to another box's request; empty until both topics were read completely. A configuration of more than
+    /// `max_configuration_bytes` when compressed is left out. Each version is compressed for the first answer that
+    /// contains it, so boxes that are never asked compress nothing.
     [[nodiscard]] std::optional<Membership::ControlAnswer> answer(
         Membership::ControlQuestion const& request, std::size_t max_configuration_bytes, Core::Instant now);
-    /// Takes what a relay of this failure domain, or of another one, answered to a request sent at `asked_at`. False
-    /// if it knows of a configuration that it did not pass on.
+    /// Applies a relay's answer to a request sent at `asked_at`; `relay_domain` is the relay's failure domain. Returns
+    /// false if the relay has a newer configuration that it left out or that can't be read.
     bool apply_relayed(
         Membership::ControlAnswer const& answer, std::string const& relay_domain, Core::Instant asked_at);
 
-    // Between all boxes, beside their load.
+    // Store versions, which all boxes exchange with their load reports.
     [[nodiscard]] Membership::StoreKnowledge store_versions(Core::Instant now) const;
     void apply_store_versions(Membership::StoreKnowledge const& reported, Core::Instant sent_at);
 
-    /// Whether the endpoints were read whole at least once.
+    /// Whether the list of endpoints was read completely at least once.
     [[nodiscard]] bool has_endpoints() const { return this->endpoints_confirmed_at.has_value(); }
 
 private:
@@ -94,7 +96,7 @@
         Outcome outcome { Outcome::Unreadable };
         std::uint64_t version { 0 };
     };
-    /// A place in a topic's log, which means nothing in another history of the store.
+    /// An offset in a topic's log, valid only in the era in which it was read.
     struct Position {
         std::optional<std::uint64_t> offset;
         std::uint64_t era { 0 };
@@ -109,40 +111,42 @@
         return topic == Adapter::Topic::Operator ? this->operator_position : this->endpoints_position;
     }
     void begin_era(Core::Instant now);
-    /// Whether the store's word that nothing newer exists may be relied on. Not while it lacks what it has reported.
+    /// Whether an answer without a newer configuration confirms the one in force. It doesn't while the store lacks a
+    /// version that this or another box has seen.
     [[nodiscard]] bool may_confirm_configuration(Core::Instant now) const;
     ConfigurationResult apply_configuration(
         std::string const& text, Core::Instant asked_at, std::optional<Core::Instant> confirmed_at);
     void apply_relayed_configuration(Membership::ConfigurationRecord const& record, Core::Instant confirmed_at);
-    /// The record in force; nothing if it is longer than any that is passed on.
+    /// The configuration record in force, compressed; empty if it can't be compressed.
     [[nodiscard]] std::optional<Membership::CompressedText> compressed_configuration();
     [[nodiscard]] std::optional<Membership::CompressedText> compress(std::string const& text) const;
-    /// Nothing for an entry that was dropped or names no endpoint.
+    /// Empty for a deleted entry and for one that can't be read.
     [[nodiscard]] std::optional<Routing::EndpointRecord> decode_endpoint(Adapter::KeyedRecord const& record);
-    /// Logs an entry that can't be read once for each reason, however often it is written again.
+    /// Logs each unreadable entry once per reason, since endpoints rewrite their entries again and again.
     void note_rejected(std::string const& key, std::string const& reason);
-    /// The list of endpoints is known as of that moment.
+    /// Marks the list of endpoints as confirmed up to that moment.
     void confirm_endpoints(Core::Instant confirmed_at);
     void put_endpoint(Routing::EndpointRecord const& record);
     void remove_endpoint(std::string const& incarnation);
     void replace_endpoints(std::vector<Routing::EndpointRecord> records);
-    /// A version that this box itself has read of.
+    /// Notes a version that this box has read from the store or in a record passed on by a relay.
     void note_read_version(std::uint64_t version, Core::Instant now);
     void apply_relayed_endpoints(Membership::ControlAnswer const& answer, Core::Instant confirmed_at);
     [[nodiscard]] std::uint64_t version() const;
 
-    /// For so long after this process started, others may know of a version that the store lost before.
+    /// For this long after its start, a box applies the versions that other boxes report, since the store may have lost
+    /// them before the box first read it.
     static constexpr Core::Duration startup_window { std::chrono::seconds(3) };
 
-    /// For so long after the store came back from a copy its list of endpoints may hold entries that had gone or
-    /// changed: until then they have lapsed again, or were written again.
+    /// For this long after the store was restored from an older copy, its list of endpoints may contain entries that
+    /// had left or changed. By then such entries have expired again or were rewritten.
     static constexpr Core::Duration stale_list_time { std::chrono::seconds(5) };
 
-    /// An entry lapses after three heartbeats without one, a second or more each; the one before the gap may be as old
-    /// as one.
+    /// An entry expires after three missed heartbeats, which are at least a second apart. The last heartbeat before the
+    /// outage may be one interval old, which leaves at least two.
     static constexpr Core::Duration min_expiry_time { std::chrono::seconds(2) };
 
-    /// Entries that can't be read of which the reason is remembered, so that each is logged once.
+    /// Unreadable entries whose reason is remembered, so that each is logged once.
     static constexpr std::size_t max_rejections = 1024;
 
     GatewayState& state;
@@ -150,32 +154,32 @@
     std::string failure_domain;
     std::uint64_t source;
     Membership::EndpointJournal journal;
-    /// Why entries of the store name no endpoint, by their keys.
+    /// Why entries can't be read, by key.
     std::map<std::string, std::string> rejected_endpoints;
-    /// Of this failure domain alone: each divides the engines for itself.
+    /// Demand of this failure domain only: each domain divides the engines by its own demand.
     Membership::DemandPool demand_of_askers;
-    /// The moment that the list of endpoints vouches for; nothing until it was known whole.
+    /// The moment up to which the list of endpoints is confirmed; empty until it was known completely.
     std::optional<Core::Instant> endpoints_confirmed_at;
     Membership::StoreHistory history;
     OnNewEra on_new_era;
     AnnouncementRelay announcement_relay;
     Position endpoints_position;
     Position operator_position;
-    /// The newest version that this box itself has read in the store's present history.
+    /// The newest version that this box has read from the store in its current era.
     std::uint64_t version_in_store { 0 };
-    /// The newest version that other boxes have told of and that the store may have lost.
+    /// The newest version reported by other boxes, which the store may have lost.
     std::uint64_t version_reported { 0 };
     Core::Instant started_at { Core::monotonic_now() };
-    /// The bound for applying changes.
+    /// The bound within which changes must be applied.
     Core::Duration apply_within { 0 };
-    /// Whether the operator has written since the store came back from a copy.
+    /// Whether the operator has written since the store was restored from an older copy.
     bool is_rewritten { false };
     Membership::DepartedEndpoints departed;
-    /// The operator's record in force, which is kept to be passed on: as the store holds it until another box asks for
-    /// it, compressed from then on. Nothing if it can't be.
+    /// The operator's record in force, kept to be passed on: as text until the first box asks for it, compressed from
+    /// then on. Empty if it can't be compressed.
     std::optional<Membership::ConfigurationRecord> configuration_record;
     std::optional<Core::Instant> store_returned_at;
-    /// Which process the list of endpoints was last taken from, and its revision there; 0 for the store.
+    /// The process from which the list of endpoints was last received, and its revision there; 0 for the store.
     std::uint64_t relayed_source { 0 };
     std::uint64_t relayed_revision { 0 };
 };
--- a/Libraries/LibGateway/CrashExchange.cpp
+++ b/Libraries/LibGateway/CrashExchange.cpp
@@ -70,7 +70,8 @@
     auto const status = this->ledger.verdict(report.request, now);
     log_crash("crash_noted", report, status);
     this->enqueue(Crashed { report, now });
-    // NOTE: Only the box that saw the last crash writes it: one call to the store for a refused request.
+    // NOTE: Only the box that saw the last crash writes the record, so each refused request costs one call to the
+    // store.
     if (status.refused_for && this->to_store)
         this->to_store(Membership::crash_key(report.request),
             Membership::encode_record({ { report.request, report.endpoint, status.crashes }, Core::Duration { 0 } },
@@ -137,7 +138,8 @@
         if (taken != CrashLedger::Taken::New)
             continue;
         this->metrics.count_crash_report("heard");
-        // NOTE: First crashes are nearly all of bystanders; the box that saw one has logged it.
+        // NOTE: First crashes aren't logged: nearly all are of requests that only ran beside the harmful one, and the
+        // box that saw the crash has logged it.
         if (auto const status = this->ledger.verdict(report.request, now); status.crashes > 1)
             log_crash("crash_heard", report, status);
         this->pause.end();
@@ -181,7 +183,7 @@
 {
     if (!this->to_boxes)
         return;
-    // NOTE: Until the others know of a probe they may begin one of their own.
+    // NOTE: Other boxes may begin a probe of the same request until they have received this update.
     bool const is_urgent = std::holds_alternative<Probing>(update);
     this->pending.push_back(
         { std::move(update), 0, monotonic_now() + (is_urgent ? Core::Duration { 0 } : batching_delay) });
@@ -219,7 +221,7 @@
 
 void CrashExchange::send_due(Instant now)
 {
-    /// Adds a piece of news to a message.
+    /// Adds an update to a message.
     struct AddTo {
         CrashMessage& message;
         Instant now;
--- a/Libraries/LibGateway/CrashExchange.h
+++ b/Libraries/LibGateway/CrashExchange.h
@@ -12,21 +12,20 @@
 
 namespace Gateway {
 
-/// What this box knows of requests under which endpoints crashed, what it tells the other boxes of it, and what of it
-/// lasts in the store.
+/// Shares with the other boxes, and keeps in the store, which requests crashed endpoints.
 ///
-/// A client may come back at any box a moment later, so news goes to all boxes at once, and again twice since datagrams
-/// are lost. A request that is refused is told on to a few boxes each second, for those that missed the news, and kept
-/// in the store for boxes that start.
+/// A client may retry at any box a moment later, so each update is sent to all boxes at once, and twice more since
+/// datagrams get lost. Refused requests are also sent to a few boxes each second, for boxes that missed the updates,
+/// and kept in the store for boxes that start.
 class CrashExchange {
 public:
     enum class Audience {
         AllBoxes,
-        /// A few, others each time.
+        /// A few boxes, different ones each time.
         SomeBoxes,
     };
     using SendToBoxes = std::function<void(std::string const& bytes, Audience audience)>;
-    /// Keeps the record in the store; drops it without a value.
+    /// Writes the record to the store, or deletes it if there is no value.
     using WriteToStore = std::function<void(std::string const& key, std::optional<std::string> value)>;
 
     CrashExchange(asio::io_context& context, GatewayMetrics& metrics)
@@ -35,25 +34,26 @@
     {
     }
 
-    /// Without these a box acts on what it sees itself.
+    /// Until this is called, a box acts only on crashes that it saw itself.
     void set_transport(SendToBoxes to_boxes, WriteToStore to_store);
     /// Runs until the event loop is stopped.
     [[nodiscard]] Task<void> run();
 
     [[nodiscard]] Routing::CrashVerdict status(Routing::RequestFingerprint request) const;
-    /// This box begins a run of a request under which endpoints crashed. No other box begins one until it has ended.
+    /// Call this when this box starts to probe a request: runs it to find out whether it crashes endpoints. Other boxes
+    /// don't run the request until the probe has ended.
     void probe_began(Routing::RequestFingerprint request);
     void probe_ended(Routing::RequestFingerprint request);
-    /// This box saw it.
+    /// An endpoint crashed while it ran a request of this box.
     void report_crash(Routing::CrashReport const& report);
     void report_success(Routing::RequestFingerprint request);
-    /// The endpoint answered this box.
+    /// The endpoint answered this box, so reports of its crash were wrong.
     void endpoint_answered(Routing::EndpointLife const& endpoint, Routing::AnswerEvidence const& evidence);
-    /// Another box told it.
+    /// Applies a message from another box.
     void receive(Membership::CrashMessage const& message);
-    /// The store holds it, under the key.
+    /// Applies a crash record that was read from the store under `key`.
     void apply_stored(std::string const& key, std::string const& value);
-    /// Requests that are refused now.
+    /// The number of requests that are refused now.
     [[nodiscard]] std::size_t refused_count() const;
 
 private:
@@ -67,11 +67,11 @@
         Routing::CrashReport report;
         Core::Instant at;
     };
-    /// Told again for as long as the run is under way.
+    /// Sent repeatedly while the probe runs.
     struct Probing {
         Routing::RequestFingerprint request;
     };
-    /// Told once: told again it might be taken for the end of the next one.
+    /// Sent only once: a repeated message could end the next probe of the same request.
     struct ProbeEnded {
         Routing::RequestFingerprint request;
     };
@@ -83,7 +83,7 @@
     };
 
     void enqueue(Update update);
-    /// When the news is told again after now; nothing if it was told for the last time.
+    /// The delay until the entry is sent again; empty after the last time.
     [[nodiscard]] static std::optional<Core::Duration> next_resend_delay(Pending& entry);
     void send_due(Core::Instant now);
     void send_refused(Core::Instant now);
@@ -91,12 +91,13 @@
     void note_retracted(Routing::EndpointLife const& endpoint, std::string_view from);
     [[nodiscard]] Core::Duration time_until_next_send(Core::Instant now) const;
 
-    /// News that comes within this time goes into one message: all requests of an endpoint break together.
+    /// Updates within this time are sent in one message, since all requests of a crashed endpoint fail together.
     static constexpr Core::Duration batching_delay { std::chrono::milliseconds(5) };
-    /// After each telling. With one datagram in ten lost, one box in a thousand misses the news.
+    /// Delays before the second and the third sending. With one datagram in ten lost, one box in a thousand misses an
+    /// update.
     static constexpr std::array<Core::Duration, 2> resend_delays { std::chrono::milliseconds(250),
         std::chrono::milliseconds(1000) };
-    /// Three tellings within a probe's lease.
+    /// Sends a probe three times within its lease.
     static constexpr Core::Duration probe_interval { std::chrono::seconds(1) };
     static constexpr Core::Duration refused_interval { std::chrono::seconds(1) };
     static constexpr Core::Duration idle_interval { std::chrono::minutes(1) };
@@ -107,10 +108,10 @@
     WriteToStore to_store;
     Routing::CrashLedger ledger;
     std::list<Pending> pending;
-    /// Requests of which this box has a run under way that decides.
+    /// Requests that this box is probing.
     std::unordered_set<Routing::RequestFingerprint> own_probes;
     Core::Instant refused_sent_at;
-    /// Which of the refused requests is told next, where they are more than a message holds.
+    /// Index of the refused request to send next, since a message may not hold all.
     std::size_t next_refused { 0 };
 };
 
--- a/Libraries/LibGateway/EndpointNoticeExchange.cpp
+++ b/Libraries/LibGateway/EndpointNoticeExchange.cpp
@@ -23,7 +23,7 @@
         .info();
 }
 
-/// Calls `send` with messages that hold all of the notices.
+/// Calls `send` with as many messages as it takes to hold all notices.
 template <typename Send> void send_in_messages(std::vector<Routing::EndpointNotice> const& notices, Send send)
 {
     for (std::size_t first = 0; first < notices.size(); first += most_notices_in_message) {
--- a/Libraries/LibGateway/EndpointNoticeExchange.h
+++ b/Libraries/LibGateway/EndpointNoticeExchange.h
@@ -9,14 +9,14 @@
 
 namespace Gateway {
 
-/// What endpoints say of themselves in their answers: tells it the router, and the other boxes when it changes, so that
-/// they act on it before the endpoint has answered them. What holds is told on to a few boxes each second, for those
-/// that missed the news, and a box that starts asks a few.
+/// Shares the limits and draining states that endpoints report in their answers: applies them to the router and sends
+/// changes to all boxes, so that a box can react before the endpoint has answered it. Notices in force are also sent to
+/// a few boxes each second, for boxes that missed a change, and sent on request to boxes that start.
 class EndpointNoticeExchange {
 public:
-    /// Sends to so many other boxes, in turn.
+    /// Sends to this many other boxes, different ones each time.
     using SendToBoxes = std::function<void(std::string const& bytes, std::size_t boxes)>;
-    /// Sends to the box that a message came from.
+    /// Sends to the sender of the message that is being handled.
     using Reply = std::function<void(std::string const& bytes)>;
 
     explicit EndpointNoticeExchange(Routing::RequestRouter& router)
@@ -24,30 +24,31 @@
     {
     }
 
-    /// Without it a box acts on what it is told itself.
+    /// Until this is called, a box acts only on what endpoints report to it.
     void set_transport(SendToBoxes to_boxes) { this->to_boxes = std::move(to_boxes); }
-    /// Asks a few boxes what they know.
+    /// Asks a few boxes for all notices in force.
     void request_notices() const;
     /// Runs until the event loop is stopped.
     [[nodiscard]] Task<void> run();
 
-    /// The endpoint said this in its answer to a request that was sent at that moment.
+    /// Applies what the endpoint reported in its answer to a request sent at `sent_at`.
     void endpoint_answered(
         Routing::Placed const& placed, Routing::RequestRouter::SelfReport const& report, Core::Instant sent_at);
-    /// Another box told it.
+    /// Applies the notices of another box and answers its request for notices.
     void receive(Membership::EndpointNewsMessage const& message, Reply const& reply);
 
 private:
     void send_some();
 
     static constexpr Core::Duration send_interval { std::chrono::seconds(1) };
-    /// Boxes told or asked at a time: all know within seconds, however many there are.
+    /// Boxes to which notices or requests are sent at a time. Each second every box sends to this many others, so all
+    /// boxes are up to date within seconds, whatever their number.
     static constexpr std::size_t some_boxes = 3;
     static constexpr std::size_t all_boxes = std::numeric_limits<std::size_t>::max();
 
     Routing::RequestRouter& router;
     SendToBoxes to_boxes;
-    /// Which of the notices is told next, where they are more than a message holds.
+    /// Index of the notice to send next, since a message may not hold all.
     std::size_t next_sent { 0 };
 };
 
--- a/Libraries/LibGateway/FleetOperator.cpp
+++ b/Libraries/LibGateway/FleetOperator.cpp
@@ -32,7 +32,7 @@
         auto const configuration = this->state.router.configuration();
         if (!configuration || !co_await this->leadership.may_act())
             continue;
-        // NOTE: Another box may have ordered since this one last led.
+        // NOTE: Another box may have ordered servers since this one last led.
         if (this->term != this->leadership.identity().fencing_token)
             this->plans.clear();
         this->term = this->leadership.identity().fencing_token;
@@ -102,7 +102,7 @@
                          : reason.text)
         .with("answer", answer && !is_accepted ? answer->body.substr(0, max_logged_answer_bytes) : "")
         .info();
-    // NOTE: A conflict says that there are no servers to be had, or that another box leads; the log knows which.
+    // NOTE: A conflict means that no servers are available or that another box is leader; the log shows which.
     if (answer && Adapter::says_conflict(answer->status))
         co_await this->leadership.check_leader();
 }
--- a/Libraries/LibGateway/FleetOperator.h
+++ b/Libraries/LibGateway/FleetOperator.h
@@ -5,7 +5,7 @@
 
 namespace Gateway {
 
-/// Orders servers from the platform while this box leads, as FleetPlan decides.
+/// Orders servers from the platform, as FleetPlan decides, while this box is leader.
 class FleetOperator {
 public:
     FleetOperator(
@@ -21,9 +21,9 @@
         Routing::Service const& service, Leader::ServerOrder const& order, Leader::Fleet const& running);
     [[nodiscard]] Leader::Fleet running(std::string const& service, Core::Instant now) const;
 
-    /// Demand is looked at and orders are given this often.
+    /// How often demand is checked and servers are ordered.
     static constexpr Core::Duration check_interval { std::chrono::milliseconds(500) };
-    /// Of an answer that refuses an order.
+    /// How much of the platform's answer to a refused order is logged.
     static constexpr std::size_t max_logged_answer_bytes = 120;
     static constexpr CallTimeouts timeouts { std::chrono::milliseconds(1500), std::chrono::milliseconds(1000) };
 
@@ -32,9 +32,9 @@
     Adapter::LeaderSettings settings;
     Leader::FleetPolicy policy;
     HttpConnection connection;
-    /// By service.
+    /// By service name.
     std::map<std::string, Leader::FleetPlan> plans;
-    /// The term that the orders are of, by its token.
+    /// The token of the term to which `plans` belong.
     std::uint64_t term { 0 };
 };
 
--- a/Libraries/LibGateway/HttpConnection.cpp
+++ b/Libraries/LibGateway/HttpConnection.cpp
@@ -31,7 +31,8 @@
     watch->finish();
     if (!error)
         co_return answer;
-    // NOTE: Nothing more is said on a connection that lost an answer.
+    // NOTE: After a lost answer the connection can't be used again, since the next answer on it might belong to this
+    // call.
     this->abort();
     last_reason.text = this->failure_text(error, *watch);
     co_return std::nullopt;
@@ -42,9 +43,9 @@
     auto const what = watch.has_timed_out() ? std::string("no answer in time") : error.message();
     auto const milliseconds = Core::to_milliseconds(watch.taken());
     if (this->progress.received_bytes == 0)
-        return fmt::format("{}: nothing came in {:.0f} ms", what, milliseconds);
+        return fmt::format("{}: nothing received in {:.0f} ms", what, milliseconds);
     auto const body = this->progress.body_bytes ? std::to_string(*this->progress.body_bytes) : "unknown";
-    return fmt::format("{}: {} bytes came in {:.0f} ms, of a head and a body of {}", what,
+    return fmt::format("{}: {} bytes received in {:.0f} ms, of a head and a body of {}", what,
         this->progress.received_bytes, milliseconds, body);
 }
 
--- a/Libraries/LibGateway/HttpConnection.h
+++ b/Libraries/LibGateway/HttpConnection.h
@@ -7,23 +7,24 @@
 struct HttpAnswer {
     unsigned status { 0 };
     std::string body;
-    /// Which history of the store it is of; 0 if the answer doesn't say.
+    /// The store's era; 0 if the answer contains none.
     std::uint64_t era { 0 };
 
     bool operator==(HttpAnswer const&) const = default;
 };
 
-/// How far the answer to a call has come.
+/// How much of an answer has been received.
 struct AnswerProgress {
-    /// Of head and body.
+    /// Head and body.
     std::size_t received_bytes { 0 };
-    /// Of the body, once the head has told it.
+    /// The body's length, once the head has been received.
     std::optional<std::uint64_t> body_bytes;
 
     bool operator==(AnswerProgress const&) const = default;
 };
 
-/// Calls the platform, its store, or another box, over one open_socket connection, one call at a time.
+/// An HTTP client with one persistent connection, for calls to the platform, its store and other boxes. One call at a
+/// time.
 class HttpConnection {
 public:
     HttpConnection(asio::io_context& context, Routing::SocketAddress address)
@@ -32,16 +33,16 @@
     {
     }
 
-    /// Any answer, or nothing with the reason.
+    /// The answer, whatever its status; empty, with a reason, if there is none.
     [[nodiscard]] Task<std::optional<HttpAnswer>> get(
         std::string const& target, CallTimeouts timeouts, Core::LastReason& last_reason);
-    /// `headers` are those that the body needs, each with its line end.
+    /// `headers` describe the body; each ends with a line end.
     [[nodiscard]] Task<std::optional<HttpAnswer>> post(std::string const& target, std::string const& body,
         CallTimeouts timeouts, Core::LastReason& last_reason,
         std::string const& headers = "Content-Type: application/octet-stream\r\n");
-    /// How far the answer to the last call has come.
+    /// How much of the answer to the last call has been received.
     [[nodiscard]] AnswerProgress const& last_progress() const { return this->progress; }
-    /// Ends the call under way and closes the connection.
+    /// Ends the call in progress and closes the connection.
     void abort();
     void set_address(Routing::SocketAddress changed) { this->address = std::move(changed); }
 
@@ -58,7 +59,7 @@
 
     asio::io_context& context;
     Routing::SocketAddress address;
-    /// Another address than this one is connected to with the next call.
+    /// The address of the open connection. If it differs from `address`, the next call reconnects.
     Routing::SocketAddress connected_to;
     std::shared_ptr<tcp::socket> socket;
     flat_buffer buffer;
--- a/Libraries/LibGateway/Leadership.cpp
+++ b/Libraries/LibGateway/Leadership.cpp
@@ -58,7 +58,7 @@
             continue;
         }
         this->must_reclaim = false;
-        // NOTE: The place in the order is looked up only when it matters, since boxes have little processor time.
+        // NOTE: The rank is computed only when it is needed, to save processor time.
         if (!this->may_run_for_leader(now)) {
             this->in_touch_since.reset();
             continue;
@@ -76,7 +76,8 @@
 
 bool Leadership::may_run_for_leader(Instant now) const
 {
-    // NOTE: Where what this box knows from the store is old, the store answers nobody, and a claim would fail too.
+    // NOTE: If this box's configuration is outdated, the store is probably unreachable for all boxes, and a claim would
+    // fail too.
     bool const is_in_touch = this->state.router.trust(now) == Routing::ConfigurationTrust::Fresh;
     return is_in_touch && !this->state.is_stopping && this->boxes.size() > 0 && this->transport.has_recent_contact(now);
 }
@@ -86,7 +87,7 @@
     if (!this->is_leader() || this->transport.has_recent_contact(now))
         this->last_contact_at = now;
     else if (now - this->last_contact_at > this->lease)
-        this->step_down("no other box is heard");
+        this->step_down("no contact with other boxes");
 }
 
 std::size_t Leadership::rank() const
@@ -106,12 +107,12 @@
         co_return;
     }
     bool const is_own = this->leader_log.standing(this->process) == LeaderLog::Standing::Leads;
-    // NOTE: A claim whose answer was lost shows here.
+    // NOTE: An earlier claim whose answer was lost may have been appended.
     if (is_own && this->leader_log.token() != this->refused_token) {
         this->become_leader();
         co_return;
     }
-    if (this->defers_to_unheard_leader())
+    if (this->defers_to_new_leader())
         co_return;
     this->first_own_window = this->leader_log.first_window(this->state.usage_window_at(monotonic_now()));
     Leader::Claim const claim { this->box_name, this->process, this->leader_log.era(), this->first_own_window };
@@ -121,12 +122,12 @@
         co_return;
     }
     Log::EventLine("leader_claim_failed")
-        .with("outcome", outcome == Appended::EndMoved ? "another box wrote" : "unknown")
+        .with("outcome", outcome == Appended::EndMoved ? "another box appended to the log" : "unknown")
         .info();
     this->election.claim_failed(monotonic_now());
 }
 
-bool Leadership::defers_to_unheard_leader()
+bool Leadership::defers_to_new_leader()
 {
     auto const& last = this->leader_log.claim();
     if (!last || last->box == this->box_name)
@@ -135,7 +136,8 @@
     auto const& known = this->election.leader();
     if (known && known->token >= token)
         return false;
-    // NOTE: Its first word may be on its way, or lost. Heard of now, it has a lease to be heard again.
+    // NOTE: The new leader's first announcement may be delayed or lost. Counting it as received now gives the new
+    // leader a lease to announce itself.
     return this->election.hear({ token, last->box, 0, 0, 0, false, {} }, monotonic_now());
 }
 
@@ -182,7 +184,7 @@
     resignation.has_resigned = true;
     auto const bytes = Leader::encode(resignation);
     this->end_leadership(reason);
-    // NOTE: Whoever misses it follows a lease later.
+    // NOTE: A box that misses the resignation can still claim after the lease.
     this->transport.to_some(bytes, this->boxes.size());
 }
 
@@ -205,9 +207,9 @@
         this->end_leadership("another box leads");
         co_return;
     }
-    // NOTE: The store's copy lacks this box's claim, or has it from before: a token of the new history is needed, since
-    // another box may have taken the lead in what was lost.
-    this->end_leadership("the store came back from a copy");
+    // NOTE: The log lacks this box's claim, or has it from an earlier era. A token of the new era is needed, since
+    // another box may have become leader in the part of the log that was lost.
+    this->end_leadership("the store was restored from an older copy");
     co_await this->claim(known_reports);
 }
 
@@ -231,7 +233,8 @@
 Task<void> Leadership::was_superseded()
 {
     co_await this->check_leader();
-    // NOTE: The log knows no later leader, but the platform has seen a higher token. Only a new claim gets above it.
+    // NOTE: The log contains no later leader, but the platform has seen a higher token, so only a new claim yields a
+    // usable one.
     if (this->is_leader())
         this->refused_token = this->own_token;
     this->end_leadership("the platform has seen a higher token");
@@ -241,7 +244,7 @@
 {
     co_await this->acquire();
     bool is_written = this->is_leader() && this->leader_log.reports().contains(window);
-    // NOTE: This box may have claimed anew while it waited for its turn, in another history of the store.
+    // NOTE: While it waited, this box may have claimed again in another era of the store.
     bool const is_left_out = window < this->first_own_window;
     if (this->is_leader() && !is_written && !is_left_out) {
         auto const outcome = co_await this->append(this->leader_log.records_of_report(window, counts));
@@ -269,7 +272,7 @@
         Log::EventLine("leader_log_call_failed").with("call", "append").with("reason", reason.text).warning();
         co_return Appended::Unknown;
     }
-    // NOTE: In another history of the store the log may end at the same offset by chance.
+    // NOTE: In another era of the store, the log may end at the same offset by chance.
     if (answer->era != this->leader_log.era() || Adapter::says_end_moved(answer->status))
         co_return Appended::EndMoved;
     auto const place = answer->status == status_ok ? Adapter::decode_append(answer->body, reason) : std::nullopt;
@@ -302,7 +305,7 @@
             co_return answer;
         });
     if (!topic || !is_one_history) {
-        auto const failure = topic ? "pages of two histories of the store" : reason.text;
+        auto const failure = topic ? "pages of two eras of the store" : reason.text;
         Log::EventLine("leader_log_call_failed").with("call", "read").with("reason", failure).warning();
         co_return false;
     }
--- a/Libraries/LibGateway/Leadership.h
+++ b/Libraries/LibGateway/Leadership.h
@@ -12,26 +12,26 @@
 
 namespace Gateway {
 
-/// Whether this box leads, which is one of all boxes at a time: stands for election, tells the others, writes to the
-/// leader's log, and steps down.
+/// Elects one box as leader: claims the leadership, announces it to the other boxes, writes to the leader log, and
+/// steps down.
 ///
-/// The log in the store decides. Every append names the end of the log that this box knows, so a box that another one
-/// followed can write nothing, and learns it by that.
+/// The leader log in the store decides who leads. Every append names the end of the log that this box has seen, so the
+/// append of a superseded leader fails, which is how the box finds out that it was superseded.
 class Leadership {
 public:
     /// Sends bytes to the box at this address.
     using SendToBox = std::function<void(Routing::SocketAddress const& address, std::string const& bytes)>;
-    /// Sends bytes to so many other boxes, others each time.
+    /// Sends bytes to this many other boxes, different ones each time.
     using SendToSome = std::function<void(std::string const& bytes, std::size_t boxes)>;
 
     struct Transport {
         SendToBox to_box;
         SendToSome to_some;
-        /// Whether this box hears from others at that moment.
+        /// Whether this box has received anything from other boxes recently.
         std::function<bool(Core::Instant now)> has_recent_contact;
     };
 
-    /// `own` is this box as others know it, `process` names this process to them; not 0.
+    /// `own` is the record of this box. `process` identifies this process to other boxes and must not be 0.
     Leadership(GatewayState& state, Membership::BoxDirectory const& boxes, Membership::BoxRecord own,
         std::uint64_t process, Routing::SocketAddress store, Core::Duration lease, bool is_first_start,
         Transport transport);
@@ -39,100 +39,104 @@
     /// Run until the event loop is stopped.
     [[nodiscard]] Task<void> run_election();
     [[nodiscard]] Task<void> announce();
-    /// `sent_at` is when the leader told it, or a moment after that.
+    /// `sent_at` is when the leader sent the announcement, or a moment after that.
     void receive(Leader::Announcement const& announcement, Core::Instant sent_at);
-    /// The last word of a leader that this box has, to be passed on to others; nothing without any.
+    /// The newest announcement that this box has sent or received, which relays pass on.
     struct RelayedAnnouncement {
         std::string bytes;
         Core::Instant sent_at;
     };
     [[nodiscard]] std::optional<RelayedAnnouncement> announcement_to_relay(Core::Instant now) const;
-    /// What another box passed on.
+    /// Handles an announcement passed on by another box.
     void receive_relayed(RelayedAnnouncement const& relayed);
     void set_address(Routing::SocketAddress address) { this->connection.set_address(std::move(address)); }
-    /// The box was suspended: another one may lead by now.
+    /// To be called when the box resumes after a suspension, during which another box may have become leader.
     void after_suspension(Core::Instant now);
-    /// The store has come back from a copy, which may lack this box's claim.
+    /// The store was restored from an older copy, which may lack this box's claim.
     void store_restored() { this->must_reclaim = true; }
 
-    /// The last leader that announced itself; nothing if none did lately, or it stepped down.
+    /// The last leader that announced itself; empty if that was too long ago or it has stepped down.
     [[nodiscard]] std::optional<Leader::Announcement> leader(Core::Instant now) const;
     [[nodiscard]] bool is_leader() const { return this->own_token.has_value(); }
-    /// Since when this box leads.
+    /// Since when this box has been leader.
     [[nodiscard]] Core::Instant leader_since() const { return this->became_leader_at; }
-    /// This box as the platform knows the leader. Only while it leads.
+    /// How this box identifies itself to the platform. Only valid while it is leader.
     [[nodiscard]] Adapter::LeaderIdentity identity() const;
     [[nodiscard]] Leader::LeaderLog const& log() const { return this->leader_log; }
-    /// The first usage window that this box may report: earlier ones are reported, or may have been.
+    /// The first usage window that this box may report; earlier ones are reported, or may have been.
     [[nodiscard]] std::uint64_t first_window() const { return this->first_own_window; }
-    /// What the announcements tell of the first window that is not written down yet.
+    /// Sets the first window whose report is not in the log yet, as sent with announcements.
     void set_next_window(std::uint64_t window) { this->next_window = window; }
 
-    /// Whether this box leads, looked up anew in the log if it stood still or was in doubt.
+    /// Whether this box may act as leader. Checks the log first if another box may have become leader meanwhile.
     [[nodiscard]] Task<bool> may_act();
-    /// Writes down a usage report. True once the log holds one for the window, this one or an earlier one.
+    /// Appends a usage report to the log. True if the log now contains a report for the window, this one or an earlier
+    /// one.
     [[nodiscard]] Task<bool> write_report(std::uint64_t window, Leader::AccountCounts const& counts);
-    /// The platform refused a call since a later leader is there: this box leads no more, whatever the log says.
+    /// To be called when the platform refused a call because of a higher token: ends this box's leadership whatever the
+    /// log contains.
     [[nodiscard]] Task<void> was_superseded();
-    /// Looks in the log whether this box still leads.
+    /// Checks in the log whether this box is still leader.
     [[nodiscard]] Task<void> check_leader();
-    /// Another box may do better.
+    /// Gives up the leadership so that another box can take over.
     void step_down(std::string_view reason);
 
 private:
-    /// One task at a time calls the store and changes what is known of the log.
+    /// Locks the store connection and the log for one task at a time.
     [[nodiscard]] Task<void> acquire();
     void release() { this->is_busy = false; }
 
-    /// Reports that this box knows and the log lacks are written with the claim.
+    /// Appends a claim, together with those of `known_reports` that the log lacks.
     [[nodiscard]] Task<void> claim(std::map<std::uint64_t, Leader::AccountCounts> const& known_reports);
-    /// Whether the log tells of a leader that this box has not heard yet, which then gets time to be heard.
-    [[nodiscard]] bool defers_to_unheard_leader();
-    /// Takes note of the time, and whether this box stood still since the last call.
+    /// Whether the log names a leader whose announcements have not arrived yet. This box then waits for a lease before
+    /// it claims.
+    [[nodiscard]] bool defers_to_new_leader();
+    /// Detects that this process stood still since the last call.
     void check_for_stall(Core::Instant now);
-    /// Reads the whole log; false if the store gave no answer that can be used.
+    /// Reads the whole log. False if the store gave no usable answer.
     [[nodiscard]] Task<bool> read_log();
-    /// Reads the log and finds out whether this box still leads.
+    /// Reads the log and checks whether this box is still leader.
     [[nodiscard]] Task<void> recheck_log();
     enum class Appended {
         Done,
-        /// Another box has written since.
+        /// Another box has appended to the log.
         EndMoved,
-        /// It may be done, now or later.
+        /// The record may be appended, now or later.
         Unknown,
     };
     [[nodiscard]] Task<Appended> append(std::vector<Leader::LogRecord> const& records);
     void become_leader();
     void end_leadership(std::string_view reason);
     [[nodiscard]] bool may_run_for_leader(Core::Instant now) const;
-    /// Steps down once this box has heard no other one for a lease: it would report what it counted itself for all.
+    /// Steps down if this box has received nothing from other boxes for a lease: its usage reports would then contain
+    /// only its own counts.
     void step_down_if_cut_off(Core::Instant now);
     [[nodiscard]] std::size_t rank() const;
     [[nodiscard]] Leader::Announcement announcement(Core::Instant now) const;
     void send_announcement(Core::Instant now);
     void note_store_call(bool is_answered, Core::Instant now);
 
-    /// How often this box looks whether it may claim, or still leads.
+    /// How often this box checks whether it may claim the leadership, or is still leader.
     static constexpr Core::Duration check_interval { std::chrono::milliseconds(200) };
-    /// A leader tells the others this often; six times within a lease of 3 s.
+    /// Six announcements fit into a lease of 3 s.
     static constexpr Core::Duration announce_interval { std::chrono::milliseconds(500) };
-    /// The first boxes of the order are told each time, since they would claim first; of the others some each time.
+    /// The boxes that would claim first get every announcement; the others take turns.
     static constexpr std::size_t boxes_announced_always = 6;
     static constexpr std::size_t boxes_announced_in_turn = 24;
-    /// A leader whose own calls of the store fail for so long tells the others no more, so that one that reaches the
-    /// store follows it.
+    /// A leader whose store calls fail for this long stops its announcements, so that a box that reaches the store can
+    /// take over.
     static constexpr Core::Duration max_store_outage { std::chrono::seconds(2) };
-    /// Between two looks at the clock; a box that stood still for longer looks whether it still leads before it acts.
+    /// A process that stood still for longer checks the log before it acts as leader.
     static constexpr Core::Duration stall_threshold { std::chrono::milliseconds(800) };
-    /// A box that has just come back in touch listens for so long before it claims: where the store was away for all,
-    /// the leader is back as soon.
+    /// A box that is back in contact waits for this long before it claims: if the outage was everybody's, the old
+    /// leader's announcements arrive within this time.
     static constexpr Core::Duration claim_delay { std::chrono::milliseconds(800) };
-    /// Word of a leader is good for so long.
+    /// How long an announcement is valid.
     static constexpr Core::Duration announcement_lifetime { std::chrono::seconds(12) };
-    /// Pause after a failed read of the log by a leader in doubt, doubled up to the longest.
+    /// Pause after a failed read of the log, doubled after each failure up to the maximum.
     static constexpr Core::Duration min_check_pause { std::chrono::milliseconds(200) };
     static constexpr Core::Duration max_check_pause { std::chrono::milliseconds(800) };
-    /// The store usually takes 4 ms, and up to 60 times as long when it is slow.
+    /// The store usually answers within 4 ms; when it is slow, it takes up to 60 times as long.
     static constexpr CallTimeouts timeouts { std::chrono::milliseconds(700), std::chrono::milliseconds(1000) };
 
     GatewayState& state;
@@ -145,16 +149,16 @@
     Leader::LeaderElection election;
     std::optional<Core::Instant> announcement_received_at;
     Leader::LeaderLog leader_log;
-    /// Nothing while this box doesn't lead.
+    /// Empty while this box is not leader.
     std::optional<Leader::FencingToken> own_token;
-    /// The platform refused this token: no claim that gave it is of use.
+    /// A token that the platform refused. A claim with this token is useless.
     std::optional<Leader::FencingToken> refused_token;
     Core::Instant became_leader_at;
     Core::Instant checked_at;
     std::optional<Core::Instant> store_unreachable_since;
-    /// Since when this box has been in touch with the store and the others; nothing while it is not.
+    /// Since when this box has been in contact with the store and with other boxes; empty while it is not.
     std::optional<Core::Instant> in_touch_since;
-    /// When other boxes were last heard, or this box took the lead.
+    /// When this box last received something from other boxes, or became leader.
     Core::Instant last_contact_at;
     Core::Duration lease;
     std::uint64_t first_own_window { 0 };
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -43,7 +43,7 @@
         auto const message = this->own_message(now);
         bool const has_load = !message.report.endpoints.empty();
         auto const addresses = this->others();
-        // NOTE: The first report without load is told too, since it takes back what was told before.
+        // NOTE: The first report without load is sent too, since it clears the load of the reports before.
         if (addresses.empty() || (!has_load && !has_sent_load)) {
             co_await sleep_for(idle_interval);
             continue;
@@ -84,7 +84,7 @@
 {
     for (std::size_t sent = 0; sent < std::min(receivers, addresses.size()); ++sent) {
         error_code ignored;
-        // NOTE: What the network does not take now is as good as lost on the way; whoever sends tells it again.
+        // NOTE: A datagram that can't be sent now counts as lost; senders repeat their messages.
         this->socket.send_to(asio::buffer(bytes), addresses[this->next_receiver++ % addresses.size()],
             udp::socket::message_flags(MSG_DONTWAIT), ignored);
     }
@@ -102,7 +102,7 @@
         bytes.resize(std::min(std::max<std::size_t>(waiting, 1), max_message_bytes));
         udp::endpoint from;
         auto const size = this->socket.receive_from(asio::buffer(bytes), from, MSG_DONTWAIT, error);
-        // NOTE: A box that is gone shows as an error of the next call; there is nothing to do about it.
+        // NOTE: An unreachable box causes an error in the next call, which is ignored.
         if (!error)
             this->handle(std::string_view(bytes).substr(0, size), from);
     }
--- a/Libraries/LibGateway/LoadExchange.h
+++ b/Libraries/LibGateway/LoadExchange.h
@@ -9,33 +9,34 @@
 
 namespace Gateway {
 
-/// Tells the other boxes in datagrams what this one has sent to endpoints and learnt of them, and hears the same from
-/// them. Only advice: a datagram that is lost, late or missing makes a choice worse and nothing wrong.
+/// Exchanges load reports with the other boxes in datagrams: the work that each box has sent to endpoints, and the load
+/// and speed that it measured. The reports are only hints: a lost or late datagram makes placement worse, but nothing
+/// incorrect.
 class LoadExchange {
 public:
-    /// What came on this port from a box at this address and is no load report; false if it is nothing else either.
+    /// Handles a datagram from another box that is no load report. False if it is no known message either.
     using OnOtherMessage = std::function<bool(std::string_view bytes, Routing::SocketAddress const& from)>;
 
-    /// What this box tells the others beside its load, and takes from them.
+    /// Provides this box's store versions for its reports, and applies those reported by other boxes.
     struct StoreVersionHandlers {
         std::function<Membership::StoreKnowledge(Core::Instant now)> own;
         std::function<void(Membership::StoreKnowledge const& reported, Core::Instant sent_at)> apply;
     };
 
-    /// `own` is the address that other boxes know this one by. `sender` names this process.
+    /// `own` is the address under which other boxes reach this one. `sender` identifies this process.
     LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes, Routing::SocketAddress own_address,
         std::uint64_t sender, StoreVersionHandlers version_handlers, OnOtherMessage on_other_message);
 
-    /// False, with a reason, where datagrams can't be received.
+    /// False, with a reason, if datagrams can't be received.
     [[nodiscard]] bool open(Core::LastReason& last_reason);
     /// Run until the event loop is stopped.
     [[nodiscard]] Task<void> send_reports();
     [[nodiscard]] Task<void> receive();
-    /// Sends these bytes to the box at this address; nothing happens for one that is no address.
+    /// Sends bytes to the box at this address. Does nothing if the address is not numeric.
     void send_to_address(Routing::SocketAddress const& address, std::string const& bytes);
-    /// Tells the box at this address what the others are told.
+    /// Sends this box's load report to the box at this address.
     void send_report(Routing::SocketAddress const& address);
-    /// Sends these bytes to so many other boxes, in turn; to all if there are no more.
+    /// Sends bytes to this many other boxes in turn, or to all if there are fewer.
     void send(std::string const& bytes, std::size_t receivers);
 
 private:
@@ -46,9 +47,9 @@
     void send_to(std::vector<udp::endpoint> const& addresses, std::string const& bytes, std::size_t receivers);
     void handle(std::string_view bytes, udp::endpoint const& from);
 
-    /// Where there is nobody to tell, or nothing new.
+    /// Pause while there are no other boxes or nothing new to report.
     static constexpr Core::Duration idle_interval { std::chrono::milliseconds(200) };
-    /// The largest datagram there is.
+    /// The size limit of a datagram.
     static constexpr std::size_t max_message_bytes = 64 * 1024;
 
     GatewayState& state;
@@ -59,7 +60,7 @@
     OnOtherMessage on_other_message;
     udp::socket socket;
     Membership::MessageAges ages;
-    /// Where the next report begins among the others, so that all are told in turn where not all are each time.
+    /// Index of the box that the next datagram is sent to, so that all boxes are reached in turn.
     std::size_t next_receiver { 0 };
 };
 
--- a/Libraries/LibGateway/RelayFollower.cpp
+++ b/Libraries/LibGateway/RelayFollower.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// When the relay heard of the beginning of the store's present history; nothing if it heard of no earlier one.
+/// When the relay saw the store's current era begin; empty if it has seen no earlier one.
 std::optional<Core::Instant> era_began_at(Membership::ControlAnswer const& answer, Core::Instant asked_at)
 {
     return answer.store_era_risen_ago ? std::optional(asked_at - *answer.store_era_risen_ago) : std::nullopt;
@@ -32,8 +32,8 @@
 {
     for (;;) {
         auto relay = this->source.relay(monotonic_now());
-        // NOTE: The next one is asked at once, so that the domain of a box that dies doesn't read the store, box by
-        // box.
+        // NOTE: If a relay fails, the next candidate is asked at once, so that not all boxes of its failure domain read
+        // the store one after another.
         while (relay) {
             bool const is_answered = co_await this->ask(*relay);
             if (is_answered)
@@ -64,8 +64,8 @@
         this->note_failure(relay, reason.text);
         co_return false;
     }
-    // NOTE: The relay has started too. Whoever waits for it is told within some 50 ms, and a read of the store for each
-    // of hundreds of boxes that lost power together is spared.
+    // NOTE: The relay has just started too. Waiting about 50 ms for its first read spares the store a read by each of
+    // hundreds of boxes that lost power together.
     if (reply->status == status_unavailable && this->source.awaits_first_answer(monotonic_now()))
         co_return true;
     if (reply->status != status_ok) {
@@ -78,14 +78,15 @@
         co_return false;
     }
     if (!this->records.observe_era(answer->store_era, era_began_at(*answer, asked_at), monotonic_now())) {
-        this->note_failure(relay, "knows an earlier history of the store");
+        this->note_failure(relay, "answer of an earlier era of the store");
         co_return false;
     }
     auto const confirmed_at = asked_at - std::max(answer->endpoints_age, answer->configuration_age);
     bool const is_recent = this->source.is_recent(confirmed_at, monotonic_now());
     this->source.relay_answered(relay.name, confirmed_at, monotonic_now());
     this->state.metrics.count_relay_question(is_recent ? "answered" : "old");
-    // NOTE: A version that is newer than this box's own is of use however late it comes; its age renews no lease.
+    // NOTE: A newer version is useful however old the relay's confirmation is; an old confirmation just renews no
+    // lease.
     if (is_recent && !this->is_answering)
         Log::EventLine("relay_in_use")
             .with("relay", relay.name)
@@ -100,15 +101,15 @@
 std::string_view RelayFollower::store_reading_reason(std::optional<Membership::BoxRecord> const& relay) const
 {
     if (!relay)
-        return this->source.is_relay(monotonic_now()) ? "relay of others" : "nobody to ask";
-    return this->is_answering ? "relay's knowledge too old" : "relay failed";
+        return this->source.is_relay(monotonic_now()) ? "relay for other boxes" : "no relay available";
+    return this->is_answering ? "relay's records are outdated" : "relay failed";
 }
 
 Task<std::optional<HttpAnswer>> RelayFollower::call(
     std::string const& request, Core::Duration timeout, Core::LastReason& last_reason)
 {
-    // NOTE: Guards against a relay that answers by drops. Where no piece is late a call may last for 27 s, and for as
-    // long the next box of the order would not be asked.
+    // NOTE: Limits the whole call, since a relay that sends its answer in tiny pieces could keep it going for 27 s,
+    // during which the next candidate would not be asked.
     auto const longest = this->source.longest_answer();
     auto const whole = std::make_shared<CallWatch>(
         this->state.context, CallTimeouts { longest, longest }, [this] { this->connection->abort(); });
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -69,7 +69,7 @@
 
 bool StoreFollower::must_read() const
 {
-    // NOTE: A box that knows nothing can serve nobody, so it waits for a relay only as long as a start takes anyway.
+    // NOTE: A box without records can't serve requests, so it waits for a relay only as long as its start takes anyway.
     auto const now = monotonic_now();
     bool const was_never_read = !this->records.was_read(this->topic);
     if (was_never_read)
@@ -81,7 +81,8 @@
 {
     if (!this->first_to_retry || !this->first_to_retry->has_failed || !this->has_failed)
         return false;
-    // NOTE: Only while the other one has the same reason to read; else it rests, and nobody would try the store.
+    // NOTE: Only while the other follower has to read for the same reason; otherwise it pauses, and no follower would
+    // retry.
     auto const now = monotonic_now();
     bool const have_same_reason = this->records.was_read(this->topic) && !this->is_behind && !this->is_read_wanted;
     return have_same_reason && this->source.reads_store(now) && this->source.tries_one_topic(now);
@@ -124,7 +125,7 @@
                 era_of_first_page = answer->era;
             co_return answer;
         });
-    // NOTE: Pages of two histories make no list. It is read anew at once.
+    // NOTE: Pages of two eras don't form a list, so the topic is read anew at once.
     if (topic && era_of_first_page != this->records.era() && this->records.era() != 0)
         co_return true;
     if (!topic) {
@@ -151,7 +152,7 @@
     auto const answer = co_await this->call(Adapter::records_target(this->topic, from, wait), wait);
     if (!answer)
         co_return false;
-    // NOTE: The offset is of an earlier history: what follows it now may be anything. The newest records are read next.
+    // NOTE: The offset belongs to an earlier era, so other records may follow it now. The newest records are read next.
     if (this->records.era() != era)
         co_return true;
     Core::LastReason reason;
@@ -165,11 +166,11 @@
     this->note_unreadable(page->unreadable);
     this->records.set_next(this->topic, page->next);
     bool const more_follows = page->next < page->end;
-    // NOTE: A page that brought nothing though more follows is not asked for again without a pause.
+    // NOTE: If a page is empty although more records follow, the next read waits for the pause.
     this->is_behind = more_follows && (!page->records.empty() || this->topic == Adapter::Topic::Operator);
     bool const took_long = monotonic_now() - asked_at > this->pace().wait;
-    // NOTE: Told by the suspension, not by how long the read took: one over a narrow link takes as long, and boxes that
-    // ask again at once keep their links busy until a new version comes too late.
+    // NOTE: Based on the suspension and not on the duration of the read, since a read over a narrow link takes as long.
+    // If such boxes asked again at once, they would keep their links busy and get new versions too late.
     bool const was_sent_before_suspension_ended = this->suspension_ended_at && asked_at < *this->suspension_ended_at;
     this->skips_wait = was_sent_before_suspension_ended || (took_long && !page->records.empty());
     this->apply(page->records, asked_at, more_follows ? Coverage::Part : Coverage::UpToEnd);
@@ -180,9 +181,9 @@
 {
     if (!this->records.next(this->topic))
         return true;
-    // NOTE: Only the newest configuration matters, and each costs the link as much as the newest. Read one after
-    // another, a box whose link takes 0.43 s for one never catches up with a change each third of a second. All
-    // endpoints' records matter, and they are short.
+    // NOTE: Only the newest configuration matters, and every version takes the link about as long. If a box read them
+    // one after another, a link that takes 0.43 s for each would never catch up with changes every third of a second.
+    // Endpoint records are short, and all of them matter.
     return this->is_behind && this->topic == Adapter::Topic::Operator;
 }
 
@@ -199,7 +200,7 @@
     }
     this->state.metrics.count_store_call(to_string(this->topic), std::to_string(answer->status));
     if (!this->records.observe_era(answer->era, std::nullopt, monotonic_now())) {
-        this->note_failure("answer of an earlier history of the store");
+        this->note_failure("answer of an earlier era of the store");
         co_return std::nullopt;
     }
     if (answer->status == status_ok) {
--- a/Libraries/LibGateway/UsageReporter.cpp
+++ b/Libraries/LibGateway/UsageReporter.cpp
@@ -54,7 +54,7 @@
 
 Core::Duration UsageReporter::settling_time() const
 {
-    // NOTE: A little more than two tellings, since one datagram may be lost.
+    // NOTE: A little more than two send intervals, since one datagram may be lost.
     return 2 * this->send_interval() + check_interval;
 }
 
@@ -105,7 +105,7 @@
     this->next_window = this->leadership.first_window();
     this->platform_unreachable_since.reset();
     this->ledger.forget_before(this->next_window);
-    // NOTE: What an earlier leader wrote down may not have been sent; sent twice it counts once.
+    // NOTE: An earlier leader's reports may not have been sent. The platform counts a repeated report once.
     std::erase_if(this->accepted_windows, [this, now](auto const window) { return this->is_over(window, now); });
 }
 
@@ -153,7 +153,7 @@
 
 Task<void> UsageReporter::send_written(Instant now)
 {
-    // NOTE: A copy, since the log may be read anew while a report is under way.
+    // NOTE: A copy, since the log may be read anew during a call.
     auto const reports = this->leadership.log().reports();
     for (auto const& [window, counts] : reports) {
         if (this->accepted_windows.contains(window) || this->is_over(window, now))
@@ -195,7 +195,7 @@
     if (!this->platform_unreachable_since)
         this->platform_unreachable_since = now;
     if (now - *this->platform_unreachable_since >= max_platform_outage && this->boxes.size() > 1)
-        this->leadership.step_down("the platform takes no calls of this box");
+        this->leadership.step_down("the platform is unreachable or refuses this box's calls");
 }
 
 }
--- a/Libraries/LibGateway/UsageReporter.h
+++ b/Libraries/LibGateway/UsageReporter.h
@@ -7,10 +7,11 @@
 
 namespace Gateway {
 
-/// Reports to the platform how many requests endpoints began, by client account and usage window.
+/// Reports to the platform how many requests endpoints started, by client account and usage window.
 ///
-/// Every box tells the leader its sums. The leader writes a window's report into the log before it sends it, and sends
-/// what the log holds, also when another box wrote that: so there are never two reports of one window that differ.
+/// Every box sends its counts to the leader. The leader appends a window's report to the leader log before it sends it,
+/// and sends the report that the log contains, also one appended by another box. So two reports of one window never
+/// differ.
 class UsageReporter {
 public:
     UsageReporter(GatewayState& state, Leadership& leadership, Membership::BoxDirectory const& boxes,
@@ -20,34 +21,35 @@
     [[nodiscard]] Task<void> send_counts();
     [[nodiscard]] Task<void> report();
     void receive(Leader::UsageMessage const& message);
-    /// Tells the leader what this box has counted, once.
+    /// Sends this box's counts to the leader once.
     void send_counts_now();
     void set_settings(Adapter::LeaderSettings changed);
 
 private:
-    /// Writes down the next window's report once all boxes have told what they counted in it.
+    /// Appends the next window's report to the log once all boxes have sent their counts for the window.
     [[nodiscard]] Task<void> write_next(Core::Instant now);
-    /// Sends what is written down and not yet taken by the platform.
+    /// Sends the reports in the log that the platform has not accepted yet.
     [[nodiscard]] Task<void> send_written(Core::Instant now);
     [[nodiscard]] Task<bool> send(std::uint64_t window, Leader::AccountCounts const& counts);
     void begin_term(Core::Instant now);
-    /// Leaves out windows whose time is over.
+    /// Skips windows whose reports are too late.
     void skip_missed(Core::Instant now);
     void note_platform_call(bool is_answered, Core::Instant now);
     [[nodiscard]] Core::Duration send_interval() const;
-    /// How long after a window's end, or after this box took the lead, all boxes have told what they counted.
+    /// How long after a window's end, or after this box became leader, all boxes have sent their counts.
     [[nodiscard]] Core::Duration settling_time() const;
     [[nodiscard]] bool is_over(std::uint64_t window, Core::Instant now) const;
 
     static constexpr Core::Duration check_interval { std::chrono::milliseconds(250) };
-    /// What a box has counted since it last told is lost with it.
+    /// A box that crashes loses the counts since its last message.
     static constexpr Core::Duration min_send_interval { std::chrono::milliseconds(800) };
     static constexpr Core::Duration max_send_interval { std::chrono::seconds(3) };
-    /// So many boxes a second tell the leader at the most, some 100 bytes each, unless there are very many.
+    /// Limits the messages to the leader, about 100 bytes each, by longer intervals; not beyond the longest interval,
+    /// where there are very many boxes.
     static constexpr double max_messages_per_second = 100;
-    /// For so long after a report was due the platform is tried again: it may still count.
+    /// A report is retried for this long after it was due, since the platform may still accept it.
     static constexpr Core::Duration max_report_delay { std::chrono::seconds(5) };
-    /// A leader that the platform doesn't answer for so long lets another box try.
+    /// A leader that gets no answer from the platform for this long steps down, so that another box can try.
     static constexpr Core::Duration max_platform_outage { std::chrono::seconds(3) };
     static constexpr CallTimeouts timeouts { std::chrono::milliseconds(1500), std::chrono::milliseconds(1000) };
 
@@ -59,10 +61,10 @@
     Leadership::SendToBox send_to_box;
     HttpConnection connection;
     Leader::UsageLedger ledger;
-    /// The term that the rest is of, by its token.
+    /// The token of the term to which the members below belong.
     std::uint64_t term { 0 };
     std::uint64_t next_window { 0 };
-    /// Windows whose report the platform has taken.
+    /// Windows whose report the platform has accepted.
     std::set<std::uint64_t> accepted_windows;
     std::optional<Core::Instant> platform_unreachable_since;
 };
--- a/Libraries/LibGateway/WholeTopic.h
+++ b/Libraries/LibGateway/WholeTopic.h
@@ -11,16 +11,16 @@
 /// The newest record of each key of a topic.
 struct WholeTopic {
     std::vector<Adapter::KeyedRecord> records;
-    /// Where each of them stands in the topic's log, in the same order.
+    /// The offset of each record in the topic's log, in the same order.
     std::vector<std::uint64_t> offsets;
-    /// Where to read on: nothing that was appended after the first page was made is missed.
+    /// Where to continue reading. No record appended after the first page was made is missed.
     std::uint64_t end { 0 };
-    /// Records that can't be read.
+    /// Number of records that can't be read.
     std::size_t unreadable { 0 };
 };
 
-/// Reads a topic page by page. `call` takes a path with its query and gives the answer, or nothing after a failure that
-/// it has dealt with. Nothing without a reason after such a failure, nothing with one for an answer that can't be read.
+/// Reads a topic page by page. `call` fetches a path with its query; it returns nothing after a failure that it has
+/// handled itself. Returns nothing if a call fails, and nothing with a reason if an answer can't be read.
 template <typename Call>
 [[nodiscard]] Task<std::optional<WholeTopic>> read_whole_topic(
     Adapter::Topic topic, Core::LastReason& last_reason, Call call)
@@ -36,7 +36,7 @@
         auto page = Adapter::decode_newest(answer->body, last_reason);
         if (!page)
             co_return std::nullopt;
-        // NOTE: Pages are not a snapshot, so what follows is read from the end as it was at the first one.
+        // NOTE: Pages are not a consistent snapshot, so reading continues at the end of the log as of the first page.
         if (std::exchange(is_first, false))
             whole.end = page->end;
         after = page->continue_after;
