--- a/Tests/LibGateway/ScriptedStore.h
+++ b/Tests/LibGateway/ScriptedStore.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <limits>
 
-/// A scripted store on loopback, and a follower before it.
+/// A scripted store on loopback, and a follower that reads it.
 namespace Scripted {
 
 using namespace Gateway;
@@ -14,16 +14,17 @@
 struct Answer {
     unsigned status { 200 };
     std::string body;
-    /// In how many pieces the body comes, and the pause before each of them.
+    /// Number of pieces in which the body is sent, and the pause before each piece.
     std::size_t pieces { 1 };
     Core::Duration pause { 0 };
-    /// How many of them come before the store falls silent for good.
+    /// Number of pieces after which the store falls silent for good.
     std::size_t pieces_sent { std::numeric_limits<std::size_t>::max() };
-    /// Further headers; each ends with a line end.
+    /// Additional headers; each ends with a line end.
     std::string headers {};
 };
 
-/// A store that a test scripts: an answer for each target, or nothing to close the connection without one.
+/// A store whose answers are scripted by the test: an answer for each target, or nothing to close the connection
+/// without one.
 class FakeStore {
 public:
     using Script = std::function<std::optional<Answer>(std::string const& target)>;
@@ -48,7 +49,7 @@
         co_return co_await send(socket, *answer);
     }
 
-    /// False if the client is gone.
+    /// False if the client has closed the connection.
     static Task<bool> send(tcp::socket& socket, Answer const& answer)
     {
         auto const head = "HTTP/1.1 " + std::to_string(answer.status)
@@ -87,7 +88,7 @@
     return R"({"version":)" + std::to_string(version) + R"(,"routes":[],"services":[]})";
 }
 
-/// What the store answers to a read of the newest record of each key; `end` follows the log's last record.
+/// The store's answer to a read of the newest record of each key; `end` follows the log's last record.
 inline std::string newest_answer(std::uint64_t end, int version)
 {
     auto const text = configuration(version);
@@ -97,11 +98,11 @@
         + std::to_string(end) + "}";
 }
 
-/// Version 2 as the newest one, the seventh record of the log.
+/// Version 2 as the newest version, in the seventh record of the log.
 inline std::string const version_2 = newest_answer(7, 2);
 inline std::string const nothing_newest = R"({"items":[],"truncated":false,"end":0})";
 
-/// A follower of one topic before a scripted store.
+/// A follower of one topic that reads a scripted store. With `without_relay`, the follower starts to read at once.
 struct Follower {
     Follower(
         Adapter::Topic topic, FakeStore::Script script, bool without_relay = true, StoreFollower::Pace pace = at_once)
--- a/Tests/LibGateway/TestBoxRegistry.cpp
+++ b/Tests/LibGateway/TestBoxRegistry.cpp
@@ -19,7 +19,7 @@
     return value;
 }
 
-/// What the store answers to a reading of the list when it holds this box and three others of its failure domain.
+/// The store's answer to a read of the list with this box and three others of its failure domain.
 std::string full_list()
 {
     std::string items;
@@ -32,7 +32,7 @@
     return R"({"items":[)" + items + R"(],"truncated":false,"end":4})";
 }
 
-/// A box that keeps its record in a scripted store.
+/// A box that registers itself in a scripted store.
 struct RegisteredBox {
     RegisteredBox(BoxRegistry::Start start, FakeStore::Script script)
         : state(this->context, Routing::RouterSettings {}, 1)
@@ -50,7 +50,7 @@
     Membership::ControlSource source;
     FakeStore store;
     BoxRegistry registry;
-    /// How often the list of boxes was taken, or found to be out of reach.
+    /// Attempts to read the list of boxes that have ended, successful or not.
     int list_updates { 0 };
 };
 
@@ -61,7 +61,7 @@
 
 }
 
-TEST_CASE("where all boxes start for the first time each writes its record, then reads the list once")
+TEST_CASE("on the first start of all boxes, each writes its record and then reads the list once")
 {
     RegisteredBox box(BoxRegistry::Start::OfAllBoxes, answer_with_full_list);
     REQUIRE(run_until(box.context, [&] { return box.list_updates > 0; }));
@@ -71,7 +71,7 @@
     CHECK(box.source.boxes().size() == 4);
 }
 
-TEST_CASE("a box that starts again and finds its record makes one call")
+TEST_CASE("a box that restarts and finds its record makes one call")
 {
     RegisteredBox box(BoxRegistry::Start::OfThisBox, answer_with_full_list);
     REQUIRE(run_until(box.context, [&] { return box.list_updates > 0; }));
@@ -79,7 +79,7 @@
     CHECK(begins_with(box.store.targets[0], "/log-newest"));
 }
 
-TEST_CASE("a box that is not listed writes its record and reads the list again soon")
+TEST_CASE("a box that is not listed writes its record and soon reads the list again")
 {
     bool is_written = false;
     RegisteredBox box(BoxRegistry::Start::OfThisBox, [&](std::string const& target) -> std::optional<Answer> {
@@ -92,7 +92,7 @@
     CHECK(box.source.boxes().size() == 4);
 }
 
-TEST_CASE("a box whose list can't be read says so, so that it reads the store itself")
+TEST_CASE("a box that can't read the list of boxes reads the store itself")
 {
     RegisteredBox box(BoxRegistry::Start::OfThisBox, [](std::string const&) { return Answer { 503, "" }; });
     REQUIRE(run_until(box.context, [&] { return box.list_updates > 0; }));
--- a/Tests/LibGateway/TestControlRecords.cpp
+++ b/Tests/LibGateway/TestControlRecords.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::size_t any_length = 1'000'000;
 
-/// A record of the operator with this many routes.
+/// An operator's record with this many routes.
 Adapter::KeyedRecord large_configuration(int version, int routes)
 {
     std::string text = R"({"version":)" + std::to_string(version) + R"(,"services":[],"routes":[)";
@@ -39,7 +39,7 @@
     return { "config", text + "]}" };
 }
 
-/// What a box knows, without a store or other boxes.
+/// A box's records, without a store or other boxes.
 struct Box {
     explicit Box(std::uint64_t source)
         : state(this->context, Routing::RouterSettings {}, 1)
@@ -47,7 +47,7 @@
     {
     }
 
-    /// Reads both topics whole.
+    /// Reads both topics completely.
     void read(int version, std::vector<Adapter::KeyedRecord> const& endpoints, Instant asked_at)
     {
         this->records.set_next(Adapter::Topic::Operator, 10);
@@ -63,7 +63,7 @@
     ControlRecords records;
 };
 
-/// One question of a box to a relay. The relay's clock is the requester's here; answers take no time.
+/// One request of a box to a relay. Both use the same clock, and answers take no time.
 bool ask(Box& requester, Box& relay, Instant now, std::size_t max_configuration_bytes = any_length)
 {
     auto const answer = relay.records.answer(requester.records.request(now), max_configuration_bytes, now);
@@ -71,7 +71,7 @@
     return requester.records.apply_relayed(*answer, "a", now);
 }
 
-/// What a relay with version 7 answers at 1100 ms to a box that read version 6 at the moment given.
+/// The answer at 1100 ms of a relay with version 7 to a box that read version 6 at the moment given.
 Membership::ControlAnswer answer_with_version_7(Box& relay, Box& box, Instant box_read_at)
 {
     relay.read(7, {}, at(1000));
@@ -83,13 +83,13 @@
 
 }
 
-TEST_CASE("a box that knows nothing answers nothing")
+TEST_CASE("a box without records gives no answer")
 {
     Box box(1);
     CHECK(!box.records.answer({}, any_length, at(0)));
 }
 
-TEST_CASE("a box that asks a relay knows what the relay knows, as old as it is there")
+TEST_CASE("a box gets all records of its relay, and is confirmed up to the same moment")
 {
     Box relay(1);
     Box box(2);
@@ -114,7 +114,7 @@
     CHECK(box.state.router.configuration_age(at(1600)) == std::chrono::milliseconds(100));
 }
 
-TEST_CASE("a relay that lags behind takes nothing back")
+TEST_CASE("an outdated relay doesn't replace newer records")
 {
     Box relay(1);
     Box box(2);
@@ -126,7 +126,7 @@
     CHECK(box.state.router.configuration_age(at(2100)) == std::chrono::milliseconds(100));
 }
 
-TEST_CASE("an older relay does not vouch for a newer configuration")
+TEST_CASE("an outdated relay does not confirm a newer configuration")
 {
     Box relay(1);
     Box box(2);
@@ -137,7 +137,7 @@
     CHECK(box.state.router.configuration_age(at(1100)) == std::chrono::milliseconds(200));
 }
 
-TEST_CASE("a configuration that is too long to be passed on is said to be missing, and is not vouched for")
+TEST_CASE("a configuration that is too long to be relayed is reported as missing and not confirmed")
 {
     Box relay(1);
     Box box(2);
@@ -151,7 +151,7 @@
     CHECK(box.state.router.endpoint_count() == 1);
 }
 
-TEST_CASE("the limit on what is passed on holds for the compressed record")
+TEST_CASE("the size limit for relaying applies to the compressed record")
 {
     Box relay(1);
     Box box(2);
@@ -164,7 +164,7 @@
     CHECK(box.state.router.configuration()->configuration().routes.size() == 1000);
 }
 
-TEST_CASE("a version is compressed once for all that ask, and boxes pass on the bytes that they got")
+TEST_CASE("a version is compressed once for all requests, and boxes relay the bytes that they received")
 {
     Box relay(1);
     Box box(2);
@@ -184,7 +184,7 @@
     CHECK(bytes_of(relay).get() != first.get());
 }
 
-TEST_CASE("a record from a box that doesn't compress it is taken, and passed on compressed")
+TEST_CASE("an uncompressed record is applied and relayed compressed")
 {
     Box relay(1);
     Box box(2);
@@ -197,7 +197,7 @@
     CHECK(third.version() == 7);
 }
 
-TEST_CASE("a record that is broken on its way is said to be missing, and is not vouched for")
+TEST_CASE("a record that is damaged in transit is reported as missing and not confirmed")
 {
     Box relay(1);
     Box box(2);
@@ -213,19 +213,19 @@
     CHECK(text.find("cleatbeam_bad_records_total{kind=\"configuration\"} 1") != std::string::npos);
 }
 
-TEST_CASE("an answer that was long on its way vouches for no more than when it was asked")
+TEST_CASE("a slow answer confirms nothing later than its request")
 {
     Box relay(1);
     Box box(2);
     relay.read(7, {}, at(5000));
     auto const answer = relay.records.answer(box.records.request(at(1000)), any_length, at(5000));
     REQUIRE(answer);
-    // Asked at 1000, answered at 5000 and taken later still: the box can't know when the answer was made.
+    // Requested at 1000, answered at 5000 and received even later: the box can't know when the answer was made.
     CHECK(box.records.apply_relayed(*answer, "a", at(1000)));
     CHECK(box.state.router.configuration_age(at(9000)) == std::chrono::seconds(8));
 }
 
-TEST_CASE("another relay brings the whole list, as does a return to the first")
+TEST_CASE("after a change of relay the whole list is sent, also by a relay used before")
 {
     Box first(1);
     Box second(2);
@@ -240,7 +240,7 @@
     CHECK(answer->endpoints.is_whole);
 }
 
-TEST_CASE("boxes that ask one relay divide the engines as it does, whatever each has seen")
+TEST_CASE("boxes with the same relay use its division of the engines")
 {
     Box relay(1);
     Box box(2);
@@ -252,7 +252,7 @@
     CHECK(shares.at("s") == relay.state.router.answer_shares(at(1200)).at("s"));
 }
 
-TEST_CASE("the demand of another failure domain's boxes does not count for the division of the engines")
+TEST_CASE("boxes of another failure domain don't affect the division of the engines")
 {
     Box relay(1);
     relay.read(1, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e") }, at(1000));
@@ -268,11 +268,10 @@
     CHECK(share_after("a", { 90, 10 }, at(1200)) > of_own);
 }
 
-// What callers saw: in a burst of long answers, beside boxes that were cut off, tries that ended at the client's time
-// limit rose from 650 to 1,535. Order of events: the first boxes of the failure domains asked another one than before,
-// and kept the division that they had been told for 6 s; all boxes sent the burst to 26 engines. Evidence: the lines
-// request_placed of second 11, and the day with a division for each domain (worth 0.656) beside one for all (0.538).
-TEST_CASE("a relay of another failure domain does not divide the engines of this one")
+// Guards against too few engines for long answers in a burst. Boxes had just changed to relays of other failure
+// domains, kept the division of those domains for 6 s, and sent the whole burst to few engines, so that attempts hit
+// the client's time limit.
+TEST_CASE("the division of a relay in another failure domain is ignored")
 {
     Box relay(1);
     Box box(2);
@@ -290,13 +289,11 @@
     CHECK(box.state.router.answer_shares(at(1200)).at("s") == answer->answer_shares.at("s"));
 }
 
-// What users saw: a request reached a server 2,052 ms after the store had acknowledged its leaving (bound 2,000 ms).
-// Order of events: a box lost its own way to the store for 11 s and was told by another box all that time; an endpoint
-// left; 0.5 s later the box's own way was back and brought the removal. Cause: the box took its return for the store's,
-// and kept the endpoint for 2 s as one whose entry had lapsed meanwhile. Evidence: store_regained topic=endpoints with
-// away_ms=10655 and endpoint_unlisted in the same millisecond, the request 1.5 s later; the same day keeps the rule
-// where boxes of so small a deployment ask nobody.
-TEST_CASE("a box that knew all along what the store says takes a removal at once when its own way is back")
+// Guards against requests to an endpoint that left more than the bound of 2,000 ms ago. A box lost its own connection
+// to the store and got its records from another box. When its connection returned and brought the removal of an
+// endpoint, the box treated this as the end of an outage of the store, and kept the endpoint for another 2 s as one
+// whose entry might have expired.
+TEST_CASE("a box that kept getting records from a relay applies a removal at once when it reaches the store again")
 {
     Box relay(1);
     Box box(2);
@@ -304,14 +301,14 @@
     auto const removal = std::vector<Adapter::KeyedRecord> { { "a", std::nullopt } };
     relay.read(7, { endpoint("a"), endpoint("b") }, now);
     box.read(7, { endpoint("a"), endpoint("b") }, now - std::chrono::seconds(11));
-    SUBCASE("told by another box")
+    SUBCASE("confirmed by another box")
     {
         CHECK(ask(box, relay, now));
         box.records.store_returned(now);
         box.records.apply_endpoint_records(removal, now, Coverage::UpToEnd);
         CHECK(box.state.router.endpoint_count() == 1);
     }
-    SUBCASE("told by nobody: the entry may have lapsed while the store was away")
+    SUBCASE("not confirmed, so the entry may have expired during the outage")
     {
         box.records.store_returned(now);
         box.records.apply_endpoint_records(removal, now, Coverage::UpToEnd);
@@ -319,12 +316,10 @@
     }
 }
 
-// What users would see: a box behind two relays serves a version for up to 1.55 times the bound after the store has
-// acknowledged the next one. Order of events: a relay reads the new version, which is too long to be passed on; a relay
-// that asks it learns of it, and the box learns of it from that one, 0.55 of the bound after the first; the box's own
-// read takes the rest of its time. Cause: the box counted the bound from when it was told. Evidence: worked out; the
-// case below served the old version for 3,100 ms where the bound is 2,000 ms.
-TEST_CASE("a box behind two relays counts a version's bound from when the first of them knew of it")
+// Guards against a version that is served for up to 1.55 times the bound. A relay reads a new version that is too long
+// to be passed on; another relay learns of the version from the first, and the box from the second, 0.55 of the bound
+// later. If the box counts the bound from then on, it serves the old version for 3,100 ms where the bound is 2,000 ms.
+TEST_CASE("a box behind two relays counts a version's bound from when the first relay read of it")
 {
     Box reader(1);
     Box relay(2);
@@ -345,7 +340,7 @@
 
 namespace {
 
-/// An endpoint's record with the start of its process.
+/// An endpoint's record with the start time of its process.
 Adapter::KeyedRecord started_at(std::string const& name, std::uint64_t start)
 {
     auto record = endpoint(name);
@@ -353,7 +348,7 @@
     return record;
 }
 
-/// What the box tells others of its endpoints, all that it knows.
+/// All endpoints in the box's answer to a request.
 std::vector<Membership::EndpointChange> endpoints_sent_by(Box& box, Instant now)
 {
     auto const answer = box.records.answer({}, any_length, now);
@@ -361,7 +356,7 @@
     return answer->endpoints.changes;
 }
 
-/// The answer as a box tells it that doesn't know of lives.
+/// The answer as sent by a box of an older version, which omits start times.
 Membership::ControlAnswer without_start_times(Membership::ControlAnswer answer)
 {
     for (auto& change : answer.endpoints.changes) {
@@ -373,7 +368,8 @@
 
 }
 
-TEST_CASE("a relay passes the life of an endpoint on, and a box that doesn't know of lives takes none back")
+TEST_CASE(
+    "relays pass on the start time of an endpoint, and records without one or of an earlier instance don't replace it")
 {
     Box relay(1);
     Box requester(2);
@@ -392,7 +388,7 @@
     REQUIRE(requester.records.apply_relayed(ask(400), "a", at(400)));
     CHECK(endpoints_sent_by(requester, at(400)).front().record->started_at == 2000);
 
-    // The same from a relay of an older version, and late word of the life before.
+    // A relay of an older version omits the start time, and a delayed record is of the earlier instance.
     relay.records.apply_endpoint_records({ endpoint("b") }, at(500), Coverage::UpToEnd);
     REQUIRE(requester.records.apply_relayed(without_start_times(ask(600)), "a", at(600)));
     requester.records.apply_endpoint_records({ started_at("a", 1000) }, at(700), Coverage::UpToEnd);
@@ -400,7 +396,7 @@
     CHECK(requester.state.router.endpoint_count() == 2);
 }
 
-TEST_CASE("an entry that can't be read takes the endpoint away that it named, and the others hold")
+TEST_CASE("an unreadable entry removes its endpoint and no other")
 {
     Box box(1);
     box.read(7, { endpoint("a"), endpoint("b") }, at(100));
--- a/Tests/LibGateway/TestCrashNews.cpp
+++ b/Tests/LibGateway/TestCrashNews.cpp
@@ -17,7 +17,7 @@
     return { "e" + std::to_string(number), 1000 };
 }
 
-/// Boxes that tell each other news through the test, which may lose it, and a store that keeps records.
+/// Boxes that exchange messages through the test, which may drop them, and a store for their records.
 struct Boxes {
     struct Box {
         explicit Box(asio::io_context& context)
@@ -26,9 +26,9 @@
         }
         GatewayMetrics metrics;
         CrashExchange exchange;
-        /// Nothing that others tell reaches it.
+        /// Whether the box receives no messages.
         bool is_cut_off { false };
-        /// Pieces of news that it told to all.
+        /// Entries of the messages that this box sent to all boxes.
         std::size_t entries_sent_to_all { 0 };
     };
 
@@ -65,7 +65,7 @@
             this->store.erase(key);
     }
 
-    /// Lets them go on for a while.
+    /// Runs all boxes for this long.
     void run_for(Core::Duration time)
     {
         asio::steady_timer timer(this->context, time);
@@ -90,7 +90,7 @@
         return true;
     }
 
-    /// The request's runs end with three endpoints, each known everywhere before the next begins.
+    /// Reports three crashes of the request, each once all boxes have received the one before.
     void crash_three_times()
     {
         for (unsigned count = 1; count <= Routing::CrashLedger::most_crashes; ++count) {
@@ -107,7 +107,7 @@
 
 }
 
-TEST_CASE("what one box sees all boxes know, and the refused request is kept once in the store")
+TEST_CASE("crashes reach all boxes, and a refused request is written to the store once")
 {
     Boxes boxes(4);
     boxes.crash_three_times();
@@ -123,12 +123,12 @@
     CHECK(started.exchange.status(request).refused_for.has_value());
 }
 
-TEST_CASE("news that a box missed is told to it again, also when only the refused request is left to tell")
+TEST_CASE("a box that missed all updates receives the refused request later")
 {
     Boxes boxes(3);
     boxes.boxes[1]->is_cut_off = true;
     boxes.crash_three_times();
-    // All three sends of each crash are lost to it.
+    // Each of the three crashes is sent three times, and all are lost to the box.
     constexpr std::size_t sends = 9;
     REQUIRE(run_until(boxes.context, [&] { return boxes.boxes[0]->entries_sent_to_all >= sends; }));
     CHECK(boxes.crashes_at(1) == 0);
@@ -136,7 +136,7 @@
     CHECK(run_until(boxes.context, [&] { return boxes.is_refused_at(1); }));
 }
 
-TEST_CASE("a run that ends well at one box clears the request at all, and in the store")
+TEST_CASE("a successful run at one box clears the request at all boxes and in the store")
 {
     Boxes boxes(3);
     boxes.crash_three_times();
@@ -145,7 +145,7 @@
     CHECK(boxes.store.empty());
 }
 
-TEST_CASE("a box that missed the clearing is told so when it tells of the crash again")
+TEST_CASE("a box that missed the clearing is corrected when it sends the crash again")
 {
     Boxes boxes(3);
     boxes.crash_three_times();
@@ -158,7 +158,7 @@
     CHECK(run_until(boxes.context, [&] { return boxes.all_count(0); }));
 }
 
-TEST_CASE("an endpoint that answers one box takes its crash back at all: a box that was cut off saw wrong")
+TEST_CASE("an endpoint that answers one box retracts its crash, reported by a box that lost contact, at all boxes")
 {
     Boxes boxes(3);
     boxes.crash_three_times();
@@ -168,7 +168,7 @@
     CHECK_FALSE(boxes.is_refused_at(0));
 }
 
-TEST_CASE("a run that decides about a request keeps all boxes from beginning another one, for as long as it lasts")
+TEST_CASE("a probe at one box blocks probes of the same request at all boxes while it runs")
 {
     Boxes boxes(3);
     boxes.exchange(0).report_crash({ request, endpoint(1), 1 });
@@ -180,14 +180,14 @@
             boxes.boxes, [&](auto& box) { return box->exchange.status(request).is_probed == expected; });
     };
     REQUIRE(run_until(boxes.context, [&] { return all_probed(true); }));
-    SUBCASE("also past the lease, and no longer than until it ends")
+    SUBCASE("beyond the lease, until the probe ends")
     {
         boxes.run_for(Routing::CrashLedger::probe_lease + std::chrono::milliseconds(500));
         CHECK(all_probed(true));
         boxes.exchange(1).probe_ended(request);
         CHECK(run_until(boxes.context, [&] { return all_probed(false); }));
     }
-    SUBCASE("not past the lease where its box is not heard any more")
+    SUBCASE("not beyond the lease if the probing box can't be reached")
     {
         boxes.boxes[0]->is_cut_off = true;
         boxes.run_for(Routing::CrashLedger::probe_lease + std::chrono::milliseconds(500));
@@ -196,7 +196,7 @@
     }
 }
 
-TEST_CASE("records of the store that are no crash, or of another request than their key says, are not taken")
+TEST_CASE("stored records that are malformed or don't match their key are rejected")
 {
     asio::io_context context;
     Boxes::Box box(context);
--- a/Tests/LibGateway/TestCrashedEndpoint.cpp
+++ b/Tests/LibGateway/TestCrashedEndpoint.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-/// The fingerprint of the request that Exchange sends, with this body.
+/// The fingerprint of the request that Exchange sends with this body.
 Routing::RequestFingerprint fingerprint(std::string const& body)
 {
     return Routing::fingerprint_of("", "h", "/x", body);
 }
 
-/// The endpoint's process ends: its connections break, and its host refuses new ones.
+/// Ends the endpoint's process: its connections break, and its host refuses new ones.
 void crash(FakeEndpoint& endpoint)
 {
     endpoint.acceptor.close();
     endpoint.close();
 }
 
-/// What other boxes told of the body's request.
+/// Crashes of the request with this body, as reported by another box.
 void receive_crash_report(Exchange& request, std::string const& body, unsigned crashes)
 {
     Membership::CrashMessage message;
@@ -35,7 +35,7 @@
 
 }
 
-TEST_CASE("an endpoint that ends while it runs a request is held against the request")
+TEST_CASE("the crash of an endpoint is recorded for the request that it ran")
 {
     SUBCASE("before its answer")
     {
@@ -60,7 +60,7 @@
     }
 }
 
-TEST_CASE("a connection that breaks while the endpoint lives is not held against the request")
+TEST_CASE("a broken connection to a running endpoint is not recorded as a crash")
 {
     Exchange request(RouteKind::Idempotent, 2, 2);
     request.start("body");
@@ -71,7 +71,7 @@
     CHECK(crash_count(request, "body") == 0);
 }
 
-TEST_CASE("an endpoint that leaves and ends as planned is not held against the request")
+TEST_CASE("the planned exit of a draining endpoint is not recorded as a crash")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 1);
     request.start("body");
@@ -85,7 +85,7 @@
     CHECK(crash_count(request, "body") == 0);
 }
 
-TEST_CASE("a repeatable request goes on to a second endpoint after a first crash, and not after another one")
+TEST_CASE("a repeatable request is retried after its first crash but not after another one")
 {
     SUBCASE("first")
     {
@@ -95,7 +95,7 @@
         request.endpoints[request.arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
-        // The run that ended well clears it.
+        // The successful run clears the request.
         CHECK(crash_count(request, "body") == 0);
     }
     SUBCASE("another one")
@@ -124,7 +124,7 @@
         CHECK(request.received.find("Retry-After: 59") != std::string::npos);
         CHECK(request.arrivals() == 0);
     }
-    SUBCASE("another one of the same caller")
+    SUBCASE("another request of the same client")
     {
         request.start("other body");
         request.endpoints[request.arrival()]->answer(whole_answer);
@@ -133,7 +133,7 @@
     }
 }
 
-TEST_CASE("while another run of a request that crashed an endpoint decides, the request is told when to come back")
+TEST_CASE("while a request that crashed an endpoint is probed, it is refused with a retry time")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 2);
     receive_crash_report(request, "body", 1);
@@ -148,7 +148,7 @@
         CHECK(request.received.find("Retry-After: 0.3") != std::string::npos);
         CHECK(request.arrivals() == 0);
     }
-    SUBCASE("another one of the same caller")
+    SUBCASE("another request of the same client")
     {
         request.start("other body");
         request.endpoints[request.arrival()]->answer(whole_answer);
@@ -157,26 +157,26 @@
     }
 }
 
-TEST_CASE("a run of a request that crashed an endpoint decides until it has ended and its break is examined")
+TEST_CASE("a probe lasts until its run has ended and a broken connection was checked")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 2);
     receive_crash_report(request, "body", 1);
     request.start("body");
     auto const index = request.arrival();
     CHECK(request.state.crash_news.status(fingerprint("body")).is_probed);
-    SUBCASE("well")
+    SUBCASE("success")
     {
         request.endpoints[index]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(crash_count(request, "body") == 0);
     }
-    SUBCASE("with the endpoint")
+    SUBCASE("crash of the endpoint")
     {
         crash(*request.endpoints[index]);
         REQUIRE(request.ends());
         CHECK(request.reach([&] { return crash_count(request, "body") == 2; }));
     }
-    SUBCASE("with a failure that shows nothing")
+    SUBCASE("inconclusive failure")
     {
         request.endpoints[index]->close();
         REQUIRE(request.ends());
--- a/Tests/LibGateway/TestRelayFollower.cpp
+++ b/Tests/LibGateway/TestRelayFollower.cpp
@@ -10,12 +10,12 @@
 using Core::monotonic_now;
 
 constexpr auto bound = std::chrono::seconds(8);
-/// Silence that a relay may well fall into between two pieces of an answer: far less than a box waits at this bound.
+/// An ordinary silence between two pieces of an answer, far shorter than a box's timeout with this bound.
 constexpr Core::Duration between_pieces = std::chrono::milliseconds(100);
 /// Longer than any box waits.
 constexpr Core::Duration silence = std::chrono::minutes(1);
 
-/// A relay that answers each question with the same bytes, in pieces.
+/// A relay that answers each request with the same bytes, in pieces.
 class SlowRelay {
 public:
     SlowRelay(asio::io_context& context, std::string body, std::size_t piece_size)
@@ -28,9 +28,9 @@
     [[nodiscard]] std::uint16_t port() const { return this->server.port(); }
 
     int requests { 0 };
-    /// Pieces after which it says nothing more.
+    /// Pieces after which the relay falls silent.
     int silent_after { 1'000'000 };
-    /// Connections that the asker gave up before the answer's end.
+    /// Connections that the requester closed before the end of the answer.
     int aborted { 0 };
 
 private:
@@ -63,7 +63,7 @@
     Scripted::ScriptedServer server;
 };
 
-/// What a relay answers that read the store just when it was asked: a configuration, and a list of many endpoints.
+/// The answer of a relay that has just read the store: a configuration and a long list of endpoints.
 std::string long_answer()
 {
     Membership::ControlAnswer answer;
@@ -80,7 +80,7 @@
     return Membership::encode(answer).whole();
 }
 
-/// A box that asks the first of four boxes, which is the scripted relay.
+/// A box whose relay is the first of four boxes, played by the scripted relay.
 struct RequestingBox {
     RequestingBox(std::string body, std::size_t piece_size)
         : state(this->context, Routing::RouterSettings {}, 1)
@@ -120,7 +120,7 @@
 
 }
 
-TEST_CASE("an answer that keeps coming is accepted however long it takes, and vouches for when it was asked for")
+TEST_CASE("an answer that keeps progressing is accepted however long it takes, and confirms records up to the request")
 {
     auto const body = long_answer();
     constexpr int pieces = 20;
@@ -139,7 +139,7 @@
     CHECK(box.missing == 0);
 }
 
-TEST_CASE("a relay whose answer would be too old when it has come is left, though it never falls silent")
+TEST_CASE("a relay whose answer would arrive outdated is abandoned although it keeps sending")
 {
     auto const body = long_answer();
     constexpr int pieces = 200;
@@ -157,7 +157,7 @@
     CHECK((!next || next->name != "relay"));
 }
 
-TEST_CASE("a relay that falls silent in its answer is left after the patience for silence")
+TEST_CASE("a relay that falls silent within its answer is abandoned after the timeout")
 {
     auto const body = long_answer();
     RequestingBox box(body, body.size() / 2);
--- a/Tests/LibGateway/TestStoreFollower.cpp
+++ b/Tests/LibGateway/TestStoreFollower.cpp
@@ -4,7 +4,7 @@
 
 using namespace Scripted;
 
-TEST_CASE("a box that catches up takes the last version, and an earlier one if the last can't be read")
+TEST_CASE("a box that catches up applies the last version, or an earlier one if the last can't be read")
 {
     auto const page = bytes_of(3, 8) + bytes_of(0, 8) + record("config", configuration(4))
         + record("config", configuration(9)) + record("config", "{broken");
@@ -20,14 +20,14 @@
     CHECK(text.find("cleatbeam_bad_records_total{kind=\"configuration\"} 1") != std::string::npos);
 }
 
-TEST_CASE("when the store's history is gone the newest records are read anew")
+TEST_CASE("the newest records are read anew when the store has discarded the next ones")
 {
     bool is_gone = true;
     int newest_reads = 0;
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
         if (begins_with(target, "/log-newest")) {
             ++newest_reads;
-            // {"version":2,...} and {"version":3,...} in base64.
+            // Base64 of {"version":2,...} and {"version":3,...}.
             auto const* const value = newest_reads == 1 ? "eyJ2ZXJzaW9uIjoyLCJyb3V0ZXMiOltdLCJzZXJ2aWNlcyI6W119"
                                                         : "eyJ2ZXJzaW9uIjozLCJyb3V0ZXMiOltdLCJzZXJ2aWNlcyI6W119";
             return Answer { 200,
@@ -42,7 +42,7 @@
     CHECK(newest_reads == 2);
 }
 
-TEST_CASE("a connection that lost an answer says nothing more, and the same offset is asked for again")
+TEST_CASE("after a lost answer the same offset is requested again on a new connection")
 {
     int calls = 0;
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
@@ -61,7 +61,7 @@
     CHECK(box.store.targets[2] == box.store.targets[3]);
 }
 
-TEST_CASE("endpoints come and go with their records, and a broken record harms no other")
+TEST_CASE("endpoints are added and removed with their records, and a malformed record affects no other")
 {
     bool is_second_page = false;
     std::string const good
@@ -83,7 +83,7 @@
     CHECK(box.state.metrics.to_text().find("cleatbeam_bad_records_total{kind=\"endpoint\"} 1") != std::string::npos);
 }
 
-TEST_CASE("a box that knows nothing reads the store before it knows whether there is a relay, and then rests")
+TEST_CASE("a box without records reads the store before it knows whether there is a relay, and then pauses")
 {
     auto const script = [](std::string const& target) -> std::optional<Answer> {
         if (begins_with(target, "/log-newest"))
@@ -101,7 +101,7 @@
 
 namespace {
 
-/// A page of one version that ends before the end of the log.
+/// A page with one version that ends before the end of the log.
 std::string page(std::uint64_t end, int version)
 {
     return bytes_of(end, 8) + bytes_of(0, 8) + record("config", configuration(version));
@@ -109,11 +109,10 @@
 
 }
 
-// What users would see: a removed key is honoured, and a route that was added is refused with 404, although the change
-// was confirmed. Order of events: two versions of half a megabyte are acknowledged; a page holds a megabyte at the
-// most, so the box gets the first; the store falls silent. Cause: every configuration that was taken renewed the lease,
-// also where the page said that more follows. Evidence: the lease's age fell to that of the read.
-TEST_CASE("a page that ends before the log's end does not vouch that nothing newer exists")
+// Guards against a confirmation by an incomplete page, after which a revoked key is still honoured and a new route is
+// refused with 404. Two versions of half a megabyte are written; a page is limited to a megabyte, so it contains only
+// the first, and the store falls silent before the second is read. Such a page must not renew the lease.
+TEST_CASE("a page that ends before the end of the log does not confirm the configuration")
 {
     auto const began = Core::monotonic_now();
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
@@ -132,10 +131,9 @@
     CHECK(box.state.router.configuration_age(now) >= now - confirmed);
 }
 
-// What users would see: a box goes on by an old version for as long as changes come. Order of events: versions come
-// faster than the link carries one. Cause: each was read in full, one after another. Evidence: version 21 of 43 was in
-// force.
-TEST_CASE("a box behind a narrow link skips versions that are outdated when it can read them")
+// Guards against a box that keeps running on an old version while changes come faster than its link transfers them. The
+// box must not read all versions one after another.
+TEST_CASE("a box with a narrow link skips outdated versions")
 {
     auto const began = Core::monotonic_now();
     auto const newest = [&] {
@@ -155,7 +153,7 @@
     CHECK(box.version() > 35);
 }
 
-TEST_CASE("a store whose address has changed is asked at the new one although the old one still answers")
+TEST_CASE("a new store address is used although the old one still answers")
 {
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
         if (begins_with(target, "/log-newest"))
@@ -173,7 +171,7 @@
     CHECK_FALSE(moved.targets.empty());
 }
 
-TEST_CASE("a follower that is stopped while an answer comes asks for nothing more")
+TEST_CASE("a follower that is stopped during an answer sends no more requests")
 {
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
         if (begins_with(target, "/log-newest"))
@@ -188,7 +186,7 @@
     CHECK(box.version() == 2);
 }
 
-TEST_CASE("a page that brings nothing though more follows is asked for again after the pause, not in a loop")
+TEST_CASE("an empty page before the end of the log is requested again only after the pause")
 {
     constexpr StoreFollower::Pace rare { std::chrono::milliseconds(0), std::chrono::milliseconds(200) };
     Follower box(
@@ -202,14 +200,14 @@
     REQUIRE(run_until(box.context, [&] { return box.store.targets.size() >= 2; }));
     int rounds = 0;
     REQUIRE(run_until(box.context, [&] { return ++rounds > 600; }));
-    // With the pause three or four in 0.6 s, and one each 40 ms without.
+    // Three or four calls with the pause in 0.6 s, and one every 40 ms without it.
     CHECK(box.store.targets.size() <= 8);
 }
 
-// What operators saw: while the store was away for 8 s each of 295 boxes tried it again and again for both topics,
-// 2,955 calls on a day. Cause: the two followers of a box knew nothing of each other's failures.
+// Guards against two followers that both retry an unreachable store, which causes thousands of calls during an outage
+// in a deployment of hundreds of boxes.
 TEST_CASE(
-    "a box that is one of many tries a lost store for its endpoints alone, and reads the rest once they are answered")
+    "one of many boxes retries an unreachable store for its endpoints only, and reads the configuration afterwards")
 {
     bool is_store_lost = false;
     bool is_configuration_lost = false;
@@ -241,7 +239,7 @@
         box.context, [&] { return endpoints.run(); }, asio::detached);
     REQUIRE(run_until(box.context, [&] { return box.version() == 3 && endpoint_calls > 1; }));
 
-    SUBCASE("the store is away")
+    SUBCASE("the store is unreachable")
     {
         is_store_lost = true;
         configuration_calls = 0;
--- a/Tests/LibGateway/TestStoreFromCopy.cpp
+++ b/Tests/LibGateway/TestStoreFromCopy.cpp
@@ -2,10 +2,9 @@
 
 #include "ScriptedStore.h"
 
-/// What users would see: keys that were taken away work again, servers that left get requests, and boxes go by a
-/// configuration that nobody wrote. Order of events: the store is away for a moment and comes back from a copy some
-/// seconds old; offsets that it gave out before are given out again. Cause: a position in the store's log was taken for
-/// one of the same log. Evidence: the cases below, on the code that read no era.
+/// Guards against revoked keys that work again, requests to endpoints that have left, and configurations that nobody
+/// wrote. After an outage the store is restored from a copy that is some seconds old, and assigns offsets again that it
+/// has assigned before. An offset must not be used in another era of the store.
 using namespace Scripted;
 
 namespace {
@@ -56,13 +55,13 @@
 
 }
 
-TEST_CASE("an offset that exists again but holds another record is not read on from")
+TEST_CASE("reading is not resumed at an offset that now holds another record")
 {
     bool is_restored = false;
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
         if (begins_with(target, "/log-newest"))
             return is_restored ? answer_of(2, newest_answer(7, 6)) : answer_of(1, version_2);
-        // The log ends at 7 again, with version 6 as its newest record: nothing follows the offset that the box knows.
+        // The log ends at 7 again, with version 6 as its newest record: nothing follows the box's offset.
         return is_restored ? answer_of(2, nothing_new(7)) : answer_of(1, nothing_new(7));
     });
     REQUIRE(run_until(box.context, [&] { return box.version() == 2; }));
@@ -70,7 +69,7 @@
     CHECK(run_until(box.context, [&] { return box.version() == 6; }));
 }
 
-TEST_CASE("a version that the copy lacks stays in force, and the older one of the copy renews no lease")
+TEST_CASE("a version that the older copy lacks stays in force, and the version in the copy renews no lease")
 {
     bool is_restored = false;
     Follower box(Adapter::Topic::Operator, [&](std::string const& target) -> std::optional<Answer> {
@@ -87,7 +86,7 @@
     CHECK(Core::monotonic_now() - box.state.router.configuration_age(Core::monotonic_now()) <= restored_at);
 }
 
-TEST_CASE("a configuration that is written again after the copy renews the lease at once")
+TEST_CASE("a configuration that is rewritten after the restore renews the lease at once")
 {
     bool is_restored = false;
     bool is_written_again = false;
@@ -113,7 +112,7 @@
     CHECK(box.version() == 2);
 }
 
-TEST_CASE("an endpoint that left before the copy's moment was lost stays left until it writes again")
+TEST_CASE("an endpoint whose departure was lost with the restore is not used until it writes again")
 {
     bool is_restored = false;
     bool is_written_again = false;
@@ -140,7 +139,7 @@
     CHECK(run_until(box.context, [&] { return usable() == 1; }));
 }
 
-TEST_CASE("a list whose pages are of two histories is read anew")
+TEST_CASE("a list whose pages are of two eras is read anew")
 {
     int reads = 0;
     Follower box(Adapter::Topic::Endpoints, [&](std::string const& target) -> std::optional<Answer> {
@@ -160,7 +159,7 @@
 
 namespace {
 
-/// What a box knows, without a store or other boxes.
+/// A box's records, without a store or other boxes.
 struct Box {
     explicit Box(std::uint64_t source)
         : state(this->context, Routing::RouterSettings {}, 1)
@@ -168,7 +167,7 @@
     {
     }
 
-    /// Reads both topics whole, in a history of the store.
+    /// Reads both topics completely, in this era of the store.
     void read(std::uint64_t era_read, int version, Core::Instant asked_at)
     {
         REQUIRE(this->records.observe_era(era_read, {}, asked_at));
@@ -187,7 +186,7 @@
 
 }
 
-TEST_CASE("a box that starts between the return and the second writing heeds the version that others hold")
+TEST_CASE("a box that starts before the configuration is rewritten respects the version that other boxes report")
 {
     auto const now = Core::monotonic_now();
     Box running(1);
@@ -197,13 +196,13 @@
     started.read(2, 5, now);
     started.records.apply_store_versions(running.records.store_versions(now), now);
     CHECK(started.version() == 5);
-    // What the copy doesn't allow may be allowed by the version that it lacks.
+    // The missing version may allow what the older copy forbids.
     CHECK(started.state.router.trust(now) == Routing::ConfigurationTrust::Aging);
     auto const later = now + std::chrono::milliseconds(2500);
     CHECK(started.state.router.trust(later) == Routing::ConfigurationTrust::Expired);
 }
 
-TEST_CASE("a relay answers as of the earlier history until it has read both topics anew")
+TEST_CASE("a relay's answers belong to the earlier era until it has read both topics anew")
 {
     auto const now = Core::monotonic_now();
     Box relay(1);
@@ -223,7 +222,7 @@
     CHECK(after->store_era_risen_ago.has_value());
 }
 
-TEST_CASE("an offset of before the copy is no place to read on from")
+TEST_CASE("offsets of before the restore are discarded")
 {
     auto const now = Core::monotonic_now();
     Box box(1);
--- a/Tests/LibGateway/TestSuspension.cpp
+++ b/Tests/LibGateway/TestSuspension.cpp
@@ -3,15 +3,9 @@
 #include "ScriptedExchange.h"
 #include <LibCore/SuspensionMeter.h>
 
-/// What users would see: a key that was taken away is served, or a route as it was, by a box that was suspended for
-/// seconds.
-///
-/// Order of events: the box reads the store, is suspended, wakes, and the first thing that is ready is a request. Its
-/// clock did not count the time, so what it knows looks as fresh as before; deadlines of requests under way are too
-/// late by as much.
-///
-/// Cause: ages ran on a clock that stands still while the box is suspended. Evidence: with that clock the cases below
-/// that rest on an age fail, and the model's variant of it serves a key too late.
+/// Guards against a box that was suspended for seconds and then serves a revoked key or an outdated route. The first
+/// event after the box resumes may be a request. A clock that doesn't count the suspension makes the configuration look
+/// fresh, and delays the deadlines of running requests.
 using namespace Gateway;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -20,7 +14,7 @@
 
 constexpr Routing::LeaseBounds bounds { seconds(2), seconds(5) };
 
-/// As the gateway does when the box wakes.
+/// Handles a suspension as the gateway does.
 void connect_suspension_handler(Exchange& request)
 {
     request.state.on_wake = [&request](Core::Duration) {
@@ -37,7 +31,7 @@
 
 }
 
-TEST_CASE("the clock of ages counts the time that the box was suspended, and the other one doesn't")
+TEST_CASE("the clock for ages counts suspensions, and the clock for awake time doesn't")
 {
     auto const now = Core::monotonic_now();
     auto const awake = Core::awake_now();
@@ -52,18 +46,18 @@
     CHECK_FALSE(meter.observe(Core::monotonic_now(), Core::awake_now()));
 }
 
-TEST_CASE("a box that stands still between two readings of its clocks finds the next suspension all the same")
+TEST_CASE("a pause between the readings of the two clocks doesn't hide the next suspension")
 {
     auto const start = Core::Instant { seconds(100) };
     Core::SuspensionMeter meter(start, start);
-    // Stopped for 5 s after the first reading, then after the second: nothing was suspended.
+    // The process stood still for 5 s after the first reading, and again after the second, without a suspension.
     CHECK_FALSE(meter.observe(start, start + seconds(5)));
     CHECK(meter.observe(start + seconds(5), start + seconds(5)));
     CHECK_FALSE(meter.observe(start + seconds(6), start + seconds(6)));
     CHECK(meter.observe(start + seconds(10), start + seconds(7)) == Core::Duration { seconds(3) });
 }
 
-TEST_CASE("the first request after waking is not served on what was known before")
+TEST_CASE("the first request after a suspension is not served with an outdated configuration")
 {
     Exchange request(RouteKind::Idempotent, 1, 1);
     request.use_accounts(settings());
@@ -99,12 +93,12 @@
     CHECK(request.arrivals() == 0);
 }
 
-TEST_CASE("after waking a box serves again as soon as the store confirms what it knows")
+TEST_CASE("after a suspension a box serves requests as soon as the store confirms its configuration")
 {
     Exchange request(RouteKind::Idempotent, 1, 1);
     request.use_accounts(settings());
     connect_suspension_handler(request);
-    // Inside the bound for taken-away keys, so only the waking holds it back.
+    // Within the bound for revoked keys, so only the suspension makes the box refuse requests.
     Core::suspend_for_tests(seconds(3));
     request.state.notice_suspension();
     CHECK(request.state.router.trust(Core::monotonic_now()) == Routing::ConfigurationTrust::Expired);
@@ -115,13 +109,13 @@
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
 }
 
-TEST_CASE("a request whose time ran out while the box was suspended is answered at once, as one that may have run")
+TEST_CASE("a request whose deadline passed during a suspension is answered at once, as one that may have run")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 1);
     connect_suspension_handler(request);
     request.start("body");
     static_cast<void>(request.arrival());
-    // The client waits for 30 s.
+    // Longer than the client's timeout of 30 s.
     Core::suspend_for_tests(seconds(31));
     request.state.notice_suspension();
     REQUIRE(request.ends());
@@ -129,7 +123,7 @@
     CHECK(request.arrivals() == 1);
 }
 
-TEST_CASE("an answer that is ready when the box wakes is delivered")
+TEST_CASE("an answer that is ready after a suspension is delivered")
 {
     Exchange request(RouteKind::NonIdempotent, 1, 1);
     connect_suspension_handler(request);
