--- a/Tests/LibGateway/TestRelayFollower.cpp
+++ b/Tests/LibGateway/TestRelayFollower.cpp
@@ -10,12 +10,12 @@
 using Core::monotonic_now;
 
 constexpr auto bound = std::chrono::seconds(8);
-/// Silence that a relay may well fall into between two pieces of an answer: far less than a box waits at this bound.
+/// An ordinary silence between two pieces of an answer, far shorter than a box's timeout with this bound.
 constexpr Core::Duration between_pieces = std::chrono::milliseconds(100);
 /// Longer than any box waits.
 constexpr Core::Duration silence = std::chrono::minutes(1);
 
-/// A relay that answers each question with the same bytes, in pieces.
+/// A relay that answers each request with the same bytes, in pieces.
 class SlowRelay {
 public:
     SlowRelay(asio::io_context& context, std::string body, std::size_t piece_size)
@@ -27,19 +27,19 @@
 
     [[nodiscard]] std::uint16_t port() const { return this->server.port(); }
 
-    int questions { 0 };
-    /// Pieces after which it says nothing more.
+    int requests { 0 };
+    /// Pieces after which the relay falls silent.
     int silent_after { 1'000'000 };
-    /// Connections that the asker gave up before the answer's end.
-    int given_up { 0 };
+    /// Connections that the requester closed before the end of the answer.
+    int aborted { 0 };
 
 private:
     Task<bool> answer(tcp::socket& socket)
     {
-        ++this->questions;
+        ++this->requests;
         bool const is_sent = co_await this->send(socket);
         if (!is_sent)
-            ++this->given_up;
+            ++this->aborted;
         co_return is_sent;
     }
 
@@ -63,7 +63,7 @@
     Scripted::ScriptedServer server;
 };
 
-/// What a relay answers that read the store just when it was asked: a configuration, and a list of many endpoints.
+/// The answer of a relay that has just read the store: a configuration and a long list of endpoints.
 std::string long_answer()
 {
     Membership::ControlAnswer answer;
@@ -80,9 +80,9 @@
     return Membership::encode(answer).whole();
 }
 
-/// A box that asks the first of four boxes, which is the scripted relay.
-struct Asker {
-    Asker(std::string body, std::size_t piece_size)
+/// A box whose relay is the first of four boxes, played by the scripted relay.
+struct RequestingBox {
+    RequestingBox(std::string body, std::size_t piece_size)
         : state(this->context, Routing::RouterSettings {}, 1)
         , records(this->state, "asker", "domain", 1)
         , source("asker", "domain", { bound, bound })
@@ -120,30 +120,30 @@
 
 }
 
-TEST_CASE("an answer that keeps coming is taken however long it takes, and vouches for when it was asked for")
+TEST_CASE("an answer that keeps progressing is accepted however long it takes, and confirms records up to the request")
 {
     auto const body = long_answer();
     constexpr int pieces = 20;
-    Asker box(body, body.size() / pieces);
+    RequestingBox box(body, body.size() / pieces);
     REQUIRE(body.size() > 60'000);
     REQUIRE(pieces * between_pieces > box.source.relay_timeout());
     auto const asked_at = monotonic_now();
-    REQUIRE(run_until(box.context, [&] { return box.version() == 9 || box.relay.given_up > 0; }));
+    REQUIRE(run_until(box.context, [&] { return box.version() == 9 || box.relay.aborted > 0; }));
     CHECK(box.version() == 9);
     CHECK(box.state.router.endpoint_count() == 1900);
-    CHECK(box.relay.questions == 1);
+    CHECK(box.relay.requests == 1);
     CHECK(box.metrics().find(failed) == std::string::npos);
-    auto const taken = monotonic_now() - asked_at;
-    CHECK(taken > box.source.relay_timeout());
-    CHECK(box.state.router.configuration_age(monotonic_now()) > taken - between_pieces);
+    auto const duration = monotonic_now() - asked_at;
+    CHECK(duration > box.source.relay_timeout());
+    CHECK(box.state.router.configuration_age(monotonic_now()) > duration - between_pieces);
     CHECK(box.missing == 0);
 }
 
-TEST_CASE("a relay whose answer would be too old when it has come is left, though it never falls silent")
+TEST_CASE("a relay whose answer would arrive outdated is abandoned although it keeps sending")
 {
     auto const body = long_answer();
     constexpr int pieces = 200;
-    Asker box(body, body.size() / pieces);
+    RequestingBox box(body, body.size() / pieces);
     REQUIRE(pieces * between_pieces > 2 * box.source.max_answer_time());
     auto const asked_at = monotonic_now();
     auto const is_left = [&] { return box.metrics().find(failed) != std::string::npos; };
@@ -157,10 +157,10 @@
     CHECK((!next || next->name != "relay"));
 }
 
-TEST_CASE("a relay that falls silent in its answer is left after the patience for silence")
+TEST_CASE("a relay that falls silent within its answer is abandoned after the timeout")
 {
     auto const body = long_answer();
-    Asker box(body, body.size() / 2);
+    RequestingBox box(body, body.size() / 2);
     box.relay.silent_after = 1;
     auto const asked_at = monotonic_now();
     auto const is_left = [&] { return box.metrics().find(failed) != std::string::npos; };
