--- a/Benchmarks/DecisionPath.h
+++ b/Benchmarks/DecisionPath.h
@@ -21,12 +21,12 @@
         this->admit();
         auto const oldest = this->running.front();
         this->running.pop_front();
-        this->engine.first_token(oldest, this->now);
-        this->take(this->engine.finish(oldest, { Traffic::AttemptResult::Completed }, this->now));
+        this->engine.observe_first_token(oldest, this->now);
+        this->apply_actions(this->engine.finish(oldest, { Traffic::AttemptResult::Completed }, this->now));
     }
 
     /// What the box does every few milliseconds whatever comes in.
-    void tick() { this->take(this->engine.tick(this->now)); }
+    void tick() { this->apply_actions(this->engine.tick(this->now)); }
 
 private:
     static Traffic::PoolPolicy policy_for(std::uint32_t endpoint_count, std::uint32_t account_count)
@@ -57,10 +57,10 @@
             Core::ClassId { static_cast<std::uint32_t>(this->next_id % 3) },
             Core::AccountId { static_cast<std::uint32_t>(this->next_id * 7919 % this->accounts) }, this->now,
             this->next_id % 97, false };
-        this->take(this->engine.submit(facts, this->now));
+        this->apply_actions(this->engine.submit(facts, this->now));
     }
 
-    void take(Traffic::Actions const& actions)
+    void apply_actions(Traffic::Actions const& actions)
     {
         for (auto const& action : actions) {
             if (auto const* dispatch = std::get_if<Traffic::Dispatch>(&action))
--- a/Libraries/LibCore/Time.cpp
+++ b/Libraries/LibCore/Time.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Suspensions that tests made up.
-std::atomic<Duration::rep> suspended_by_tests { 0 };
+std::atomic<Duration::rep> simulated_suspension { 0 };
 
 Instant read_clock(clockid_t clock)
 {
@@ -26,17 +26,17 @@
 
 Instant monotonic_now()
 {
-    return read_clock(CLOCK_BOOTTIME) + Duration { suspended_by_tests.load(std::memory_order_relaxed) };
+    return read_clock(CLOCK_BOOTTIME) + Duration { simulated_suspension.load(std::memory_order_relaxed) };
 }
 
-Instant awake_now()
+Instant now_without_suspension()
 {
     return read_clock(CLOCK_MONOTONIC);
 }
 
-void suspend_for_tests(Duration length)
+void simulate_suspension(Duration length)
 {
-    suspended_by_tests += length.count();
+    simulated_suspension += length.count();
 }
 
 std::int64_t wall_clock_milliseconds()
@@ -54,7 +54,7 @@
 
 // NOTE: "ms" stands before "s" and "m", so that the longest suffix is tried first.
 constexpr std::array<Unit, 4> units { { { "ms", 1e3 }, { "s", 1e6 }, { "m", 6e7 }, { "h", 3.6e9 } } };
-constexpr double longest_duration_microseconds = 366.0 * 24 * 3.6e9;
+constexpr double max_duration_microseconds = 366.0 * 24 * 3.6e9;
 
 }
 
@@ -70,7 +70,7 @@
         if (result.ec != std::errc {} || result.ptr != digits.data() + digits.size())
             return {};
         auto const microseconds = number * unit.microseconds;
-        if (!(microseconds >= 0 && microseconds <= longest_duration_microseconds))
+        if (!(microseconds >= 0 && microseconds <= max_duration_microseconds))
             return {};
         return Duration { static_cast<Duration::rep>(microseconds) };
     }
--- a/Libraries/LibCore/Time.h
+++ b/Libraries/LibCore/Time.h
@@ -23,9 +23,9 @@
 /// suspended for 8 s must not take what it knew before for fresh. For the shell only.
 [[nodiscard]] Instant monotonic_now();
 /// The same without the time that the box was suspended, as timers run. Only to find out that it was.
-[[nodiscard]] Instant awake_now();
-/// Lets monotonic_now() run ahead of awake_now() by so much more, as after a suspension. For tests.
-void suspend_for_tests(Duration length);
+[[nodiscard]] Instant now_without_suspension();
+/// Lets monotonic_now() run ahead of now_without_suspension() by so much more, as after a suspension. For tests.
+void simulate_suspension(Duration length);
 
 /// Milliseconds since 1970 by this box's wall clock, which may step either way. For idempotency keys, and for records
 /// that outlive the process.
--- a/Libraries/LibFate/FateLedger.h
+++ b/Libraries/LibFate/FateLedger.h
@@ -15,13 +15,13 @@
 /// Bounds on the clocks and memories of the protocol, in milliseconds.
 struct FateLimits {
     /// How far any two clocks may differ. Keys from further in the future are refused.
-    std::int64_t allowance { 10'000 };
+    std::int64_t max_clock_skew { 10'000 };
     /// Age up to which a key may be used. Less than the log's retention.
-    std::int64_t window { 24LL * 3600 * 1000 };
+    std::int64_t max_key_age { 24LL * 3600 * 1000 };
     /// Answers longer than this are not kept for replays, in bytes.
-    std::size_t longest_kept_body { 4096 };
+    std::size_t max_kept_body_bytes { 4096 };
     /// Bytes of answers kept in all.
-    std::size_t most_kept_bytes { 64U << 20U };
+    std::size_t max_kept_bytes { 64U << 20U };
 
     bool operator==(FateLimits const&) const = default;
 };
@@ -51,12 +51,12 @@
     bool operator==(Replay const&) const = default;
 };
 /// The request gets this answer now.
-struct Answer {
+struct Rejection {
     Core::Outcome outcome { Core::Outcome::Unknown };
     Core::Reason reason { Core::Reason::None };
-    bool operator==(Answer const&) const = default;
+    bool operator==(Rejection const&) const = default;
 };
-using Verdict = std::variant<MustClaim, HeldByOther, Replay, Answer>;
+using Verdict = std::variant<MustClaim, HeldByOther, Replay, Rejection>;
 
 enum class ClaimState {
     /// Appended or about to be; not read back.
@@ -76,18 +76,18 @@
 /// never after it was given up on.
 class FateLedger {
 public:
-    FateLedger(Incarnation own, FateLimits const& limits)
-        : own(own)
+    FateLedger(Incarnation own_incarnation, FateLimits const& limits)
+        : own_incarnation(own_incarnation)
         , limits(limits)
     {
     }
 
     /// What is known of the key; nothing when it would have to be claimed.
-    [[nodiscard]] std::optional<Verdict> peek(KeyRequest const& request, std::int64_t now_milliseconds) const;
+    [[nodiscard]] std::optional<Verdict> check(KeyRequest const& request, std::int64_t now_milliseconds) const;
     /// As peek(), and makes a claim when there has to be one.
-    [[nodiscard]] Verdict ask(KeyRequest const& request, std::int64_t now_milliseconds);
+    [[nodiscard]] Verdict check_or_claim(KeyRequest const& request, std::int64_t now_milliseconds);
     /// What a held key has come to since, without claiming it.
-    [[nodiscard]] Verdict look(Key const& key) const;
+    [[nodiscard]] Verdict current_verdict(Key const& key) const;
 
     /// Takes in one record at its place in the log. Places may come in any order, each any number of times. Returns the
     /// records that must now be appended: own claims that turned up after they were given up on are settled not-run.
@@ -106,13 +106,13 @@
     /// Every record that was appended after this time has been applied.
     void set_history_start(std::int64_t milliseconds) { this->history_start = milliseconds; }
     /// Drops keys that are too old to be asked for.
-    void forget_old(std::int64_t now_milliseconds);
+    void remove_expired(std::int64_t now_milliseconds);
 
     [[nodiscard]] std::size_t size() const { return this->fates.size(); }
 
 private:
     struct KeyFate {
-        Core::Offset decided_at;
+        Core::Offset deciding_offset;
         std::optional<Claim> claim;
         bool is_void { false };
         std::optional<Settled> settled;
@@ -121,28 +121,28 @@
     struct OwnClaim {
         bool given_up { false };
         bool sent { false };
-        std::int64_t made_milliseconds { 0 };
+        std::int64_t created_milliseconds { 0 };
     };
     struct EarlySettlement {
         Settled settled;
         std::int64_t appended_milliseconds { 0 };
     };
 
-    [[nodiscard]] Verdict verdict_of(KeyFate const& fate) const;
+    [[nodiscard]] Verdict verdict_for(KeyFate const& fate) const;
     void apply_decision(
         Core::Offset offset, Key const& key, std::optional<Claim> const& claim, std::int64_t appended_milliseconds);
     void apply_settled(EarlySettlement const& settlement);
-    void keep_bodies_bounded();
-    [[nodiscard]] bool has_won(Claim const& claim) const;
+    void evict_bodies();
+    [[nodiscard]] bool is_winner(Claim const& claim) const;
 
-    Incarnation own;
+    Incarnation own_incarnation;
     FateLimits limits;
     std::uint64_t next_sequence { 1 };
     std::optional<std::int64_t> history_start;
     std::unordered_map<Key, KeyFate> fates;
     std::map<std::uint64_t, OwnClaim> own_claims;
     /// Own claims under way by key, so that two requests here share one.
-    std::unordered_map<Key, Claim> claims_under_way;
+    std::unordered_map<Key, Claim> pending_claims;
     /// Settlements that were read before the claim they belong to.
     std::unordered_map<Key, std::vector<EarlySettlement>> early_settlements;
     std::deque<Key> kept_bodies;
--- a/Libraries/LibFate/FateTypes.cpp
+++ b/Libraries/LibFate/FateTypes.cpp
@@ -11,12 +11,12 @@
 
 namespace wire = cleatbeam::fate;
 
-Claimant claimant_from(wire::Claimant const& message)
+Claimant read_claimant(wire::Claimant const& message)
 {
     return { Incarnation { message.incarnation() }, message.sequence() };
 }
 
-void put_claimant(Claimant const& claimant, wire::Claimant& message)
+void write_claimant(Claimant const& claimant, wire::Claimant& message)
 {
     message.set_incarnation(claimant.incarnation.value());
     message.set_sequence(claimant.sequence);
@@ -46,27 +46,27 @@
 struct RecordWriter {
     wire::Record& message;
 
-    void put_key(Key const& key) const
+    void write_key(Key const& key) const
     {
         this->message.set_key_high(key.high);
         this->message.set_key_low(key.low);
     }
     void operator()(Claim const& claim) const
     {
-        this->put_key(claim.key);
-        put_claimant(claim.claimant, *this->message.mutable_claim()->mutable_claimant());
+        this->write_key(claim.key);
+        write_claimant(claim.claimant, *this->message.mutable_claim()->mutable_claimant());
         this->message.mutable_claim()->set_fingerprint(claim.fingerprint);
     }
-    void operator()(Void const& voiding) const
+    void operator()(Void const& void_record) const
     {
-        this->put_key(voiding.key);
+        this->write_key(void_record.key);
         this->message.mutable_void_();
     }
     void operator()(Settled const& settled) const
     {
-        this->put_key(settled.key);
+        this->write_key(settled.key);
         auto& target = *this->message.mutable_settled();
-        put_claimant(settled.claimant, *target.mutable_claimant());
+        write_claimant(settled.claimant, *target.mutable_claimant());
         target.set_result(to_wire(settled.result));
         target.set_status(settled.status);
         target.set_content_type(settled.content_type);
@@ -79,13 +79,13 @@
 {
     Key const key { message.key_high(), message.key_low() };
     if (message.has_claim())
-        return Claim { key, claimant_from(message.claim().claimant()), message.claim().fingerprint() };
+        return Claim { key, read_claimant(message.claim().claimant()), message.claim().fingerprint() };
     if (message.has_void_())
         return Void { key };
     if (!message.has_settled())
         return {};
     auto const& settled = message.settled();
-    return Settled { key, claimant_from(settled.claimant()), from_wire(settled.result()), settled.status(),
+    return Settled { key, read_claimant(settled.claimant()), from_wire(settled.result()), settled.status(),
         settled.content_type(), settled.body(), settled.body_kept() };
 }
 
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/SuspensionMeter.h>
+#include <LibCore/SuspensionDetector.h>
 #include <LibGateway/CrashNews.h>
 #include <LibGateway/EndpointConnections.h>
 #include <LibGateway/EndpointNews.h>
@@ -28,7 +28,7 @@
     void notice_suspension()
     {
         auto const now = Core::monotonic_now();
-        auto const length = this->suspension.observe(now, Core::awake_now());
+        auto const length = this->suspension.observe(now, Core::now_without_suspension());
         if (length && this->on_wake)
             this->on_wake(*length);
     }
@@ -62,7 +62,7 @@
     bool awaits_other_boxes { false };
     /// When this process ends at the latest; known once it takes no new connections.
     std::optional<Core::Instant> ends_at;
-    Core::SuspensionMeter suspension { Core::monotonic_now(), Core::awake_now() };
+    Core::SuspensionDetector suspension { Core::monotonic_now(), Core::now_without_suspension() };
     /// Called with how long the box was suspended.
     std::function<void(Core::Duration length)> on_wake;
     /// Requests being served.
--- a/Libraries/LibLog/BoundedSink.h
+++ b/Libraries/LibLog/BoundedSink.h
@@ -21,24 +21,24 @@
     [[nodiscard]] std::uint64_t dropped_lines() const { return this->dropped; }
 
     /// Lines of one box in a second: six lines for each request at ten times the first sites' load.
-    static constexpr unsigned most_lines_per_second = 600;
+    static constexpr unsigned max_lines_per_second = 600;
     /// Waits for a slow reader for about half a second at that rate.
-    static constexpr std::size_t most_waiting_bytes = 64 * 1024;
+    static constexpr std::size_t max_buffered_bytes = 64 * 1024;
 
 protected:
     void sink_it_(spdlog::details::log_msg const& message) override;
     void flush_() override;
 
 private:
-    [[nodiscard]] bool takes_line(spdlog::details::log_msg const& message, std::size_t size);
-    void tell_of_dropped_lines();
+    [[nodiscard]] bool accepts_line(spdlog::details::log_msg const& message, std::size_t size);
+    void report_dropped_lines();
 
     int descriptor;
-    std::string waiting;
-    std::chrono::system_clock::time_point second_began;
+    std::string buffer;
+    std::chrono::system_clock::time_point second_started;
     unsigned lines_this_second { 0 };
     std::uint64_t dropped { 0 };
-    std::uint64_t dropped_told { 0 };
+    std::uint64_t dropped_reported { 0 };
 };
 
 }
--- a/Libraries/LibLog/EventLog.cpp
+++ b/Libraries/LibLog/EventLog.cpp
@@ -8,11 +8,11 @@
 
 EventLine& EventLine::with(std::string_view key, std::string_view value)
 {
-    constexpr unsigned char first_printable = 0x20;
+    constexpr unsigned char first_printable_character = 0x20;
     std::string safe;
     bool needs_quotes = value.empty();
     for (auto const character : value) {
-        if (static_cast<unsigned char>(character) < first_printable) {
+        if (static_cast<unsigned char>(character) < first_printable_character) {
             safe += fmt::format("\\x{:02x}", static_cast<unsigned char>(character));
             continue;
         }
--- a/Libraries/LibLog/LogLine.cpp
+++ b/Libraries/LibLog/LogLine.cpp
@@ -29,7 +29,7 @@
     return value;
 }
 
-std::string tell_placement(Pairs const& pairs)
+std::string describe_placement(Pairs const& pairs)
 {
     return fmt::format("attempt {}: sent to {} of {} candidates (route {}, configuration {} confirmed {} ms before; "
                        "predicted {} ms: backlog {} ms, {} tokens to read, {} running there; {} ms left)",
@@ -39,17 +39,17 @@
         value_of(pairs, "running"), value_of(pairs, "left_ms"));
 }
 
-std::string tell_attempt_end(Pairs const& pairs)
+std::string describe_attempt_end(Pairs const& pairs)
 {
-    auto told = fmt::format("attempt at {} ended after {} ms: {}, status {}, on a {} connection",
+    auto description = fmt::format("attempt at {} ended after {} ms: {}, status {}, on a {} connection",
         value_of(pairs, "endpoint"), value_of(pairs, "took_ms"), value_of(pairs, "result"), value_of(pairs, "status"),
         value_of(pairs, "reused_connection") == "yes" ? "kept" : "new");
     if (pairs.contains("detail"))
-        told += " (" + value_of(pairs, "detail") + ")";
-    return told;
+        description += " (" + value_of(pairs, "detail") + ")";
+    return description;
 }
 
-std::string tell_check(Pairs const& pairs)
+std::string describe_endpoint_check(Pairs const& pairs)
 {
     auto const now = value_of(pairs, "endpoint_now");
     auto const finding = now == "refuses" ? "its process has ended"
@@ -59,7 +59,7 @@
         value_of(pairs, "endpoint"), finding, value_of(pairs, "fingerprint"));
 }
 
-std::string tell_end(Pairs const& pairs)
+std::string describe_request_end(Pairs const& pairs)
 {
     return fmt::format("the client was told {} after {} ms and {} attempts, because: {}{}", value_of(pairs, "status"),
         value_of(pairs, "took_ms"), value_of(pairs, "attempts"), value_of(pairs, "reason"),
@@ -92,17 +92,17 @@
     return pairs;
 }
 
-std::string tell_event(Pairs const& pairs)
+std::string describe_event(Pairs const& pairs)
 {
     auto const event = value_of(pairs, "event");
     if (event == "request_placed")
-        return tell_placement(pairs);
+        return describe_placement(pairs);
     if (event == "attempt_ended")
-        return tell_attempt_end(pairs);
+        return describe_attempt_end(pairs);
     if (event == "broken_connection_checked")
-        return tell_check(pairs);
+        return describe_endpoint_check(pairs);
     if (event == "request_ended")
-        return tell_end(pairs);
+        return describe_request_end(pairs);
     if (event == "answer_for_other_request")
         return "the endpoint sent an answer to another request first; it was dropped";
     return {};
--- a/Libraries/LibLog/LogLine.h
+++ b/Libraries/LibLog/LogLine.h
@@ -10,6 +10,6 @@
 [[nodiscard]] std::map<std::string, std::string> parse_line(std::string_view line);
 
 /// One event of a request's story in words, from the pairs of its line; empty for an event that is not known.
-[[nodiscard]] std::string tell_event(std::map<std::string, std::string> const& pairs);
+[[nodiscard]] std::string describe_event(std::map<std::string, std::string> const& pairs);
 
 }
--- a/Libraries/LibRecord/DecisionRing.cpp
+++ b/Libraries/LibRecord/DecisionRing.cpp
@@ -10,7 +10,7 @@
     switch (kind) {
     case DecisionKind::Arrived:
         return "arrived";
-    case DecisionKind::Waits:
+    case DecisionKind::Queued:
         return "waits in the queue";
     case DecisionKind::Placed:
         return "sent to an endpoint";
@@ -18,7 +18,7 @@
         return "refused";
     case DecisionKind::Preempted:
         return "taken off its endpoint";
-    case DecisionKind::TriedAgain:
+    case DecisionKind::Retried:
         return "will be tried again";
     case DecisionKind::Claimed:
         return "key claimed";
@@ -35,12 +35,12 @@
     if (!this->endpoint.empty())
         line << "; endpoint " << this->endpoint;
     line << "; class " << this->request_class << ", account " << this->account << ", pool " << this->pool;
-    line << "; " << this->figures.queued << " waiting, " << this->figures.running << " running, wait predicted "
-         << Core::to_milliseconds(this->figures.predicted_wait) << " ms, " << Core::to_milliseconds(this->figures.slack)
+    line << "; " << this->inputs.queued << " waiting, " << this->inputs.running << " running, wait predicted "
+         << Core::to_milliseconds(this->inputs.predicted_wait) << " ms, " << Core::to_milliseconds(this->inputs.slack)
          << " ms until the latest start in time";
-    for (std::size_t index = 0; index < this->figures.candidate_count; ++index)
-        line << (index == 0 ? "; candidates " : ", ") << this->figures.candidates[index].endpoint.value() << " scored "
-             << this->figures.candidates[index].score;
+    for (std::size_t index = 0; index < this->inputs.candidate_count; ++index)
+        line << (index == 0 ? "; candidates " : ", ") << this->inputs.candidates[index].endpoint.value() << " scored "
+             << this->inputs.candidates[index].score;
     line << "; settings " << this->settings_version.value();
     return line.str();
 }
@@ -48,35 +48,35 @@
 void DecisionRing::add(DecisionRecord record)
 {
     std::scoped_lock const lock(this->mutex);
-    this->numbers_of_request[record.request].push_back(this->first_number + this->records.size());
+    this->sequences_of_request[record.request].push_back(this->first_sequence + this->records.size());
     this->records.push_back(std::move(record));
     if (this->records.size() <= this->capacity)
         return;
-    auto const oldest = this->numbers_of_request.find(this->records.front().request);
-    VERIFY(oldest != this->numbers_of_request.end() && oldest->second.front() == this->first_number);
+    auto const oldest = this->sequences_of_request.find(this->records.front().request);
+    VERIFY(oldest != this->sequences_of_request.end() && oldest->second.front() == this->first_sequence);
     oldest->second.erase(oldest->second.begin());
     if (oldest->second.empty())
-        this->numbers_of_request.erase(oldest);
+        this->sequences_of_request.erase(oldest);
     this->records.pop_front();
-    ++this->first_number;
+    ++this->first_sequence;
 }
 
 std::vector<DecisionRecord> DecisionRing::find(Core::RequestId request) const
 {
     std::scoped_lock const lock(this->mutex);
     std::vector<DecisionRecord> found;
-    auto const numbers = this->numbers_of_request.find(request);
-    if (numbers == this->numbers_of_request.end())
+    auto const sequences = this->sequences_of_request.find(request);
+    if (sequences == this->sequences_of_request.end())
         return found;
-    for (auto const number : numbers->second)
-        found.push_back(this->records[number - this->first_number]);
+    for (auto const sequence : sequences->second)
+        found.push_back(this->records[sequence - this->first_sequence]);
     return found;
 }
 
 std::uint64_t DecisionRing::dropped() const
 {
     std::scoped_lock const lock(this->mutex);
-    return this->first_number;
+    return this->first_sequence;
 }
 
 }
--- a/Libraries/LibRecord/DecisionRing.h
+++ b/Libraries/LibRecord/DecisionRing.h
@@ -14,11 +14,11 @@
 
 enum class DecisionKind {
     Arrived,
-    Waits,
+    Queued,
     Placed,
     Refused,
     Preempted,
-    TriedAgain,
+    Retried,
     Claimed,
     Ended,
 };
@@ -38,7 +38,7 @@
     /// The endpoint concerned, if any.
     std::string endpoint;
     Core::Offset settings_version;
-    Traffic::DecisionFigures figures;
+    Traffic::DecisionInputs inputs;
 
     bool operator==(DecisionRecord const&) const = default;
     /// One line that a person can read.
@@ -62,8 +62,8 @@
     std::size_t capacity;
     mutable std::mutex mutex;
     std::deque<DecisionRecord> records;
-    std::uint64_t first_number { 0 };
-    std::unordered_map<Core::RequestId, std::vector<std::uint64_t>> numbers_of_request;
+    std::uint64_t first_sequence { 0 };
+    std::unordered_map<Core::RequestId, std::vector<std::uint64_t>> sequences_of_request;
 };
 
 }
--- a/Libraries/LibServer/FateService.cpp
+++ b/Libraries/LibServer/FateService.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint64_t page_records = 1000;
 constexpr Core::Duration retry_after_log { std::chrono::seconds(2) };
 
-KeyedEnd end_with(Fate::Answer const& answer)
+KeyedEnd end_with(Fate::Rejection const& answer)
 {
     return { { AttemptResult::NotSent, 0, "", "", false, "" }, { answer.outcome, answer.reason, retry_after_log } };
 }
@@ -36,7 +36,7 @@
 /// The end that a verdict stands for; a key that is still held may have run.
 KeyedEnd end_of(Fate::Verdict const& verdict)
 {
-    if (auto const* answer = std::get_if<Fate::Answer>(&verdict))
+    if (auto const* answer = std::get_if<Fate::Rejection>(&verdict))
         return end_with(*answer);
     if (auto const* replay = std::get_if<Fate::Replay>(&verdict))
         return replay_of(replay->settled);
@@ -98,7 +98,7 @@
     std::optional<Fate::Verdict> verdict;
     {
         std::scoped_lock const lock(this->mutex);
-        verdict = this->ledger.peek(*request, Core::wall_clock_milliseconds());
+        verdict = this->ledger.check(*request, Core::wall_clock_milliseconds());
     }
     if (!verdict && this->is_log_lost())
         return end_with({ Outcome::Undecided, Reason::LogUnreachable });
@@ -114,7 +114,7 @@
     auto const request = key_request(flow);
     VERIFY(request.has_value());
     std::unique_lock lock(this->mutex);
-    auto const verdict = this->ledger.ask(*request, Core::wall_clock_milliseconds());
+    auto const verdict = this->ledger.check_or_claim(*request, Core::wall_clock_milliseconds());
     lock.unlock();
     if (auto const* must_claim = std::get_if<Fate::MustClaim>(&verdict))
         return this->run_claimed(flow, must_claim->claim, send);
@@ -168,9 +168,10 @@
 KeyedEnd FateService::wait_for_holder(Fate::Key const& key)
 {
     std::unique_lock lock(this->mutex);
-    this->changed.wait_for(lock, longest_holder_wait,
-        [&] { return this->is_stopping || !std::holds_alternative<Fate::HeldByOther>(this->ledger.look(key)); });
-    return end_of(this->ledger.look(key));
+    this->changed.wait_for(lock, longest_holder_wait, [&] {
+        return this->is_stopping || !std::holds_alternative<Fate::HeldByOther>(this->ledger.current_verdict(key));
+    });
+    return end_of(this->ledger.current_verdict(key));
 }
 
 void FateService::settle(RequestFlow& flow, Fate::Claim const& claim, AttemptReport const& report)
@@ -180,7 +181,7 @@
         settled.result = Fate::Result::Completed;
         settled.status = report.status;
         settled.content_type = report.content_type;
-        settled.body_kept = !flow.facts.streaming && report.body.size() <= this->settings.limits.longest_kept_body;
+        settled.body_kept = !flow.facts.streaming && report.body.size() <= this->settings.limits.max_kept_body_bytes;
         if (settled.body_kept)
             settled.body = report.body;
     } else if (report.result == AttemptResult::ConnectionRefused) {
@@ -255,7 +256,7 @@
         // NOTE: A gap means that retention passed this reader by, so what lay in it can't be known any more.
         if (page->records.empty() && page->earliest > this->next_to_read)
             this->next_to_read = page->earliest;
-        this->ledger.forget_old(Core::wall_clock_milliseconds());
+        this->ledger.remove_expired(Core::wall_clock_milliseconds());
     }
     this->changed.notify_all();
     return true;
@@ -279,8 +280,8 @@
     }
     this->oldest_read = std::max(Core::Offset { start }, page->earliest);
     auto const is_past_window = this->oldest_stamp
-        && *this->oldest_stamp
-            < Core::wall_clock_milliseconds() - this->settings.limits.window - 4 * this->settings.limits.allowance;
+        && *this->oldest_stamp < Core::wall_clock_milliseconds() - this->settings.limits.max_key_age
+                - 4 * this->settings.limits.max_clock_skew;
     this->history_is_whole = *this->oldest_read == page->earliest || is_past_window;
     if (this->history_is_whole)
         this->ledger.set_history_start(0);
--- a/Libraries/LibServer/PoolShard.cpp
+++ b/Libraries/LibServer/PoolShard.cpp
@@ -60,7 +60,7 @@
     Traffic::Actions actions;
     {
         std::scoped_lock const lock(this->mutex);
-        actions = this->engine.abandon(flow.facts.id, Core::monotonic_now());
+        actions = this->engine.cancel(flow.facts.id, Core::monotonic_now());
     }
     this->execute(actions);
 }
@@ -70,7 +70,7 @@
     Traffic::Actions actions;
     {
         std::scoped_lock const lock(this->mutex);
-        actions = this->engine.take_report(endpoint, report, Core::monotonic_now());
+        actions = this->engine.apply_report(endpoint, report, Core::monotonic_now());
     }
     this->execute(actions);
 }
@@ -118,7 +118,7 @@
 void PoolShard::carry_out(Traffic::Wait const& action)
 {
     if (auto const flow = this->find(action.request))
-        this->record(*flow, Record::DecisionKind::Waits, Core::Reason::Queued, "", action.figures);
+        this->record(*flow, Record::DecisionKind::Queued, Core::Reason::Queued, "", action.inputs);
 }
 
 void PoolShard::carry_out(Traffic::Dispatch const& action)
@@ -134,7 +134,7 @@
             endpoint = view->settings();
     }
     this->services.metrics.count_placement(action.reason);
-    this->record(*flow, Record::DecisionKind::Placed, action.reason, endpoint.name, action.figures);
+    this->record(*flow, Record::DecisionKind::Placed, action.reason, endpoint.name, action.inputs);
     this->services.threads.enqueue([this, flow, action, endpoint] { this->run_attempt(flow, action, endpoint); });
 }
 
@@ -145,7 +145,7 @@
         auto const now = Core::monotonic_now();
         this->services.metrics.observe_first_token(flow->class_name, now - flow->facts.arrived);
         std::scoped_lock const lock(this->mutex);
-        this->engine.first_token(action.request, now);
+        this->engine.observe_first_token(action.request, now);
     };
     auto const send = [&] { return this->services.upstream.call(*flow, endpoint, action.tier, on_first_piece); };
     auto const needs_claim = !flow->class_settings.repeatable && !endpoint.checks_keys;
@@ -183,7 +183,7 @@
     if (flow->has_perhaps_run())
         outcome = Core::Outcome::Unknown;
     this->services.metrics.count_refusal(action.reason);
-    this->record(*flow, Record::DecisionKind::Refused, action.reason, "", action.figures);
+    this->record(*flow, Record::DecisionKind::Refused, action.reason, "", action.inputs);
     flow->push(End { outcome, action.reason, action.retry_after });
 }
 
@@ -203,7 +203,7 @@
     if (!flow)
         return;
     this->services.metrics.count_retry(action.reason);
-    this->record(*flow, Record::DecisionKind::TriedAgain, action.reason, "", {});
+    this->record(*flow, Record::DecisionKind::Retried, action.reason, "", {});
 }
 
 void PoolShard::carry_out(Traffic::Conclude const& action)
@@ -251,7 +251,7 @@
 }
 
 void PoolShard::record(RequestFlow const& flow, Record::DecisionKind kind, Core::Reason reason,
-    std::string const& endpoint, Traffic::DecisionFigures const& figures)
+    std::string const& endpoint, Traffic::DecisionInputs const& figures)
 {
     this->services.records.add({ flow.facts.id, Core::wall_clock_milliseconds(), kind, reason, flow.class_name,
         flow.account_name, this->pool, endpoint, Core::Offset { this->settings_version }, figures });
--- a/Libraries/LibServer/PoolShard.h
+++ b/Libraries/LibServer/PoolShard.h
@@ -82,7 +82,7 @@
     [[nodiscard]] FlowPointer find(Core::RequestId request);
     [[nodiscard]] FlowPointer take(Core::RequestId request);
     void record(RequestFlow const& flow, Record::DecisionKind kind, Core::Reason reason, std::string const& endpoint,
-        Traffic::DecisionFigures const& figures);
+        Traffic::DecisionInputs const& figures);
 
     std::string pool;
     ShardServices services;
--- a/Libraries/LibSettings/DocumentCheck.cpp
+++ b/Libraries/LibSettings/DocumentCheck.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t deepest_nesting = 64;
+constexpr std::size_t max_nesting = 64;
 
 /// Follows the parser's events, since the loaded tree no longer shows duplicate keys.
 class DuplicateKeyFinder final : public YAML::EventHandler {
@@ -22,28 +22,28 @@
 
     void OnDocumentStart(YAML::Mark const&) override { }
     void OnDocumentEnd() override { }
-    void OnNull(YAML::Mark const& mark, YAML::anchor_t) override { this->take_scalar(mark, "null"); }
+    void OnNull(YAML::Mark const& mark, YAML::anchor_t) override { this->handle_scalar(mark, "null"); }
     void OnAlias(YAML::Mark const& mark, YAML::anchor_t) override
     {
         ++this->aliases;
-        if (this->aliases == most_aliases + 1)
+        if (this->aliases == max_aliases + 1)
             this->faults.push_back({ this->path(), mark.line + 1, "", "too many aliases" });
-        this->take_scalar(mark, "*alias");
+        this->handle_scalar(mark, "*alias");
     }
     void OnScalar(YAML::Mark const& mark, std::string const&, YAML::anchor_t, std::string const& value) override
     {
-        this->take_scalar(mark, value);
+        this->handle_scalar(mark, value);
     }
     void OnSequenceStart(YAML::Mark const& mark, std::string const&, YAML::anchor_t, YAML::EmitterStyle::value) override
     {
-        this->open(mark, false);
+        this->enter_level(mark, false);
     }
-    void OnSequenceEnd() override { this->close(); }
+    void OnSequenceEnd() override { this->leave_level(); }
     void OnMapStart(YAML::Mark const& mark, std::string const&, YAML::anchor_t, YAML::EmitterStyle::value) override
     {
-        this->open(mark, true);
+        this->enter_level(mark, true);
     }
-    void OnMapEnd() override { this->close(); }
+    void OnMapEnd() override { this->leave_level(); }
 
 private:
     struct Level {
@@ -63,7 +63,7 @@
         return path;
     }
 
-    void take_scalar(YAML::Mark const& mark, std::string const& value)
+    void handle_scalar(YAML::Mark const& mark, std::string const& value)
     {
         if (this->levels.empty() || !this->levels.back().is_map)
             return;
@@ -78,16 +78,16 @@
             this->faults.push_back({ this->path(), mark.line + 1, value, "duplicate key" });
     }
 
-    void open(YAML::Mark const& mark, bool is_map)
+    void enter_level(YAML::Mark const& mark, bool is_map)
     {
         if (!this->levels.empty() && this->levels.back().is_map)
             this->levels.back().expects_key = true;
-        if (this->levels.size() == deepest_nesting)
+        if (this->levels.size() == max_nesting)
             this->faults.push_back({ this->path(), mark.line + 1, "", "nested too deep" });
         this->levels.push_back({ is_map, true, {}, {} });
     }
 
-    void close() { this->levels.pop_back(); }
+    void leave_level() { this->levels.pop_back(); }
 
     std::vector<SettingsFault>& faults;
     std::vector<Level> levels;
@@ -98,7 +98,7 @@
 
 void check_document_text(std::string const& text, std::vector<SettingsFault>& faults)
 {
-    if (text.size() > largest_document_bytes) {
+    if (text.size() > max_document_bytes) {
         faults.push_back({ "", 0, std::to_string(text.size()), "document is larger than 4194304 bytes" });
         return;
     }
--- a/Libraries/LibSettings/SettingsHistory.cpp
+++ b/Libraries/LibSettings/SettingsHistory.cpp
@@ -42,7 +42,7 @@
     auto settings = read_settings(publication->document, faults);
     if (!settings)
         return PublicationVerdict::Faulty;
-    this->current_settings = std::make_shared<ReadSettings const>(std::move(*settings));
+    this->current_settings = std::make_shared<CheckedSettings const>(std::move(*settings));
     this->current_version = version_of(offset);
     this->current_document = publication->document;
     return PublicationVerdict::Accepted;
--- a/Libraries/LibSettings/SettingsHistory.h
+++ b/Libraries/LibSettings/SettingsHistory.h
@@ -42,13 +42,13 @@
         Core::Offset offset, std::string const& payload, std::vector<SettingsFault>& faults);
 
     [[nodiscard]] Core::Offset version() const { return this->current_version; }
-    [[nodiscard]] std::shared_ptr<ReadSettings const> current() const { return this->current_settings; }
+    [[nodiscard]] std::shared_ptr<CheckedSettings const> current() const { return this->current_settings; }
     [[nodiscard]] std::string const& document() const { return this->current_document; }
 
 private:
     Core::Offset current_version;
     Core::Offset next_offset;
-    std::shared_ptr<ReadSettings const> current_settings;
+    std::shared_ptr<CheckedSettings const> current_settings;
     std::string current_document;
 };
 
--- a/Libraries/LibSettings/SettingsReader.cpp
+++ b/Libraries/LibSettings/SettingsReader.cpp
@@ -35,12 +35,12 @@
 namespace {
 
 /// Why a value was refused; empty when it was taken.
-using Refusal = std::string;
+using ValueError = std::string;
 
-constexpr double largest_floor = 0.5;
+constexpr double max_floor = 0.5;
 constexpr std::size_t tier_count = 3;
 
-Refusal take_number(std::string const& text, double low, double high, double& target)
+ValueError read_number(std::string const& text, double low, double high, double& target)
 {
     double number = 0;
     auto const result = std::from_chars(text.data(), text.data() + text.size(), number, std::chars_format::fixed);
@@ -52,7 +52,7 @@
     return {};
 }
 
-Refusal take_integer(std::string const& text, int low, int high, int& target)
+ValueError read_integer(std::string const& text, int low, int high, int& target)
 {
     int number = 0;
     auto const result = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -64,7 +64,7 @@
     return {};
 }
 
-Refusal take_duration(std::string const& text, Core::Duration& target)
+ValueError read_duration(std::string const& text, Core::Duration& target)
 {
     auto const duration = Core::parse_duration(text);
     if (!duration || duration->count() == 0)
@@ -73,7 +73,7 @@
     return {};
 }
 
-Refusal take_switch(std::string const& text, bool& target)
+ValueError read_bool(std::string const& text, bool& target)
 {
     if (text != "true" && text != "false")
         return "must be true or false";
@@ -82,7 +82,7 @@
 }
 
 template <typename Choice>
-Refusal take_choice(
+ValueError read_choice(
     std::string const& text, std::vector<std::pair<std::string_view, Choice>> const& choices, Choice& target)
 {
     std::string names;
@@ -96,16 +96,16 @@
     return "must be one of " + names;
 }
 
-Refusal take_address(std::string const& text, std::string& host, int& port)
+ValueError read_address(std::string const& text, std::string& host, int& port)
 {
     auto const colon = text.rfind(':');
     if (colon == std::string::npos || colon == 0)
         return "must be an IP number and a port, as in 10.0.0.7:8000";
     host = text.substr(0, colon);
-    return take_integer(text.substr(colon + 1), 1, 65535, port);
+    return read_integer(text.substr(colon + 1), 1, 65535, port);
 }
 
-Refusal take_key_hashes(std::vector<std::string> const& texts)
+ValueError check_key_hashes(std::vector<std::string> const& texts)
 {
     constexpr std::size_t sha256_hex_digits = 64;
     for (auto const& text : texts) {
@@ -119,12 +119,12 @@
     std::string name;
     bool is_list { false };
     bool is_required { false };
-    std::function<Refusal(Target&, std::vector<std::string> const&)> take;
+    std::function<ValueError(Target&, std::vector<std::string> const&)> read;
 };
 
 std::vector<FieldRule<ClassSettings>> class_rules(std::vector<std::string> const& tiers)
 {
-    auto const take_tier = [tiers](ClassSettings& target, std::vector<std::string> const& texts) -> Refusal {
+    auto const read_tier = [tiers](ClassSettings& target, std::vector<std::string> const& texts) -> ValueError {
         auto const found = std::ranges::find(tiers, texts[0]);
         if (found == tiers.end())
             return "must be one of the tiers listed in `tiers`";
@@ -132,23 +132,23 @@
         return {};
     };
     return {
-        { "tier", false, true, take_tier },
+        { "tier", false, true, read_tier },
         { "target", false, true,
-            [](auto& target, auto const& texts) { return take_duration(texts[0], target.target); } },
+            [](auto& target, auto const& texts) { return read_duration(texts[0], target.target); } },
         { "target_kind", false, true,
             [](auto& target, auto const& texts) {
-                return take_choice<TargetKind>(texts[0],
+                return read_choice<TargetKind>(texts[0],
                     { { "first-token", TargetKind::FirstToken }, { "whole-answer", TargetKind::WholeAnswer } },
                     target.target_kind);
             } },
         { "patience", false, true,
-            [](auto& target, auto const& texts) { return take_duration(texts[0], target.patience); } },
+            [](auto& target, auto const& texts) { return read_duration(texts[0], target.patience); } },
         { "floor", false, false,
-            [](auto& target, auto const& texts) { return take_number(texts[0], 0, largest_floor, target.floor); } },
+            [](auto& target, auto const& texts) { return read_number(texts[0], 0, max_floor, target.floor); } },
         { "late_answer_useful", false, false,
-            [](auto& target, auto const& texts) { return take_switch(texts[0], target.late_answer_useful); } },
+            [](auto& target, auto const& texts) { return read_bool(texts[0], target.late_answer_useful); } },
         { "repeatable", false, true,
-            [](auto& target, auto const& texts) { return take_switch(texts[0], target.repeatable); } },
+            [](auto& target, auto const& texts) { return read_bool(texts[0], target.repeatable); } },
     };
 }
 
@@ -158,15 +158,15 @@
         { "classes", true, true,
             [](auto& target, auto const& texts) {
                 target.classes = texts;
-                return Refusal {};
+                return ValueError {};
             } },
         { "key_hashes", true, true,
             [](auto& target, auto const& texts) {
                 target.key_hashes = texts;
-                return take_key_hashes(texts);
+                return check_key_hashes(texts);
             } },
         { "weight", false, false,
-            [](auto& target, auto const& texts) { return take_number(texts[0], 0.01, 1000, target.weight); } },
+            [](auto& target, auto const& texts) { return read_number(texts[0], 0.01, 1000, target.weight); } },
     };
 }
 
@@ -176,35 +176,35 @@
         { "pool", false, true,
             [](auto& target, auto const& texts) {
                 target.pool = texts[0];
-                return Refusal { texts[0].empty() ? "must not be empty" : "" };
+                return ValueError { texts[0].empty() ? "must not be empty" : "" };
             } },
         { "kind", false, true,
             [](auto& target, auto const& texts) {
-                return take_choice<EndpointKind>(
+                return read_choice<EndpointKind>(
                     texts[0], { { "model", EndpointKind::Model }, { "service", EndpointKind::Service } }, target.kind);
             } },
         { "address", false, true,
-            [](auto& target, auto const& texts) { return take_address(texts[0], target.host, target.port); } },
+            [](auto& target, auto const& texts) { return read_address(texts[0], target.host, target.port); } },
         { "failure_domain", false, true,
             [](auto& target, auto const& texts) {
                 target.failure_domain = texts[0];
-                return Refusal {};
+                return ValueError {};
             } },
         { "slots", false, true,
-            [](auto& target, auto const& texts) { return take_integer(texts[0], 1, 4096, target.slots); } },
+            [](auto& target, auto const& texts) { return read_integer(texts[0], 1, 4096, target.slots); } },
         { "models", true, false,
             [](auto& target, auto const& texts) {
                 target.models = texts;
-                return Refusal {};
+                return ValueError {};
             } },
         { "path_prefixes", true, false,
             [](auto& target, auto const& texts) {
                 target.path_prefixes = texts;
                 auto const bad = std::ranges::any_of(texts, [](auto const& text) { return !text.starts_with('/'); });
-                return Refusal { bad ? "each must start with /" : "" };
+                return ValueError { bad ? "each must start with /" : "" };
             } },
         { "checks_keys", false, false,
-            [](auto& target, auto const& texts) { return take_switch(texts[0], target.checks_keys); } },
+            [](auto& target, auto const& texts) { return read_bool(texts[0], target.checks_keys); } },
     };
 }
 
@@ -217,16 +217,16 @@
                 for (auto const policy : { PolicyName::Cleatbeam, PolicyName::RoundRobinFifo,
                          PolicyName::LeastOutstandingFifo, PolicyName::LeastOutstandingStrict })
                     choices.emplace_back(to_string(policy), policy);
-                return take_choice<PolicyName>(texts[0], choices, target.policy);
+                return read_choice<PolicyName>(texts[0], choices, target.policy);
             } },
         { "boxes", false, false,
-            [](auto& target, auto const& texts) { return take_integer(texts[0], 1, 4096, target.boxes); } },
+            [](auto& target, auto const& texts) { return read_integer(texts[0], 1, 4096, target.boxes); } },
         { "preemption", false, false,
-            [](auto& target, auto const& texts) { return take_switch(texts[0], target.preemption); } },
+            [](auto& target, auto const& texts) { return read_bool(texts[0], target.preemption); } },
         { "retry_share", false, false,
-            [](auto& target, auto const& texts) { return take_number(texts[0], 0, 1, target.retry_share); } },
+            [](auto& target, auto const& texts) { return read_number(texts[0], 0, 1, target.retry_share); } },
         { "report_interval", false, false,
-            [](auto& target, auto const& texts) { return take_duration(texts[0], target.report_interval); } },
+            [](auto& target, auto const& texts) { return read_duration(texts[0], target.report_interval); } },
     };
 }
 
@@ -236,7 +236,7 @@
 {
     for (auto const& [field, inherited] : values) {
         auto const& value = inherited.value;
-        auto const at = inherited.set_at + "/" + field;
+        auto const at = inherited.source_path + "/" + field;
         auto const rule = std::ranges::find(rules, field, &FieldRule<Target>::name);
         if (rule == rules.end()) {
             faults.push_back({ at, value.line, value.joined(), "unknown field" });
@@ -247,9 +247,9 @@
                 { at, value.line, value.joined(), rule->is_list ? "must be a list" : "must be a single value" });
             continue;
         }
-        auto const refusal = rule->take(target, value.texts);
-        if (!refusal.empty())
-            faults.push_back({ at, value.line, value.joined(), refusal });
+        auto const error = rule->read(target, value.texts);
+        if (!error.empty())
+            faults.push_back({ at, value.line, value.joined(), error });
     }
     for (auto const& rule : rules) {
         if (rule.is_required && !values.contains(rule.name))
@@ -352,14 +352,14 @@
     double sum = 0;
     for (auto const& request_class : document.classes)
         sum += request_class.floor;
-    if (sum > largest_floor)
+    if (sum > max_floor)
         faults.push_back(
             { "classes", 0, std::to_string(sum), "the floors of all classes together must not exceed 0.5" });
 }
 
-std::optional<ReadSettings> read_loaded(YAML::Node const& root, std::vector<SettingsFault>& faults)
+std::optional<CheckedSettings> read_document(YAML::Node const& root, std::vector<SettingsFault>& faults)
 {
-    auto const faults_before = faults.size();
+    auto const fault_count_before = faults.size();
     if (!root.IsMap()) {
         faults.push_back({ "", 0, "", "a document is a map with tiers, classes, accounts, endpoints and routing" });
         return {};
@@ -371,7 +371,7 @@
     }
     SettingsDocument document;
     document.tiers = read_tiers(root["tiers"], faults);
-    ReadSettings settings { {}, SettingsTree::create(root["classes"], "classes", faults),
+    CheckedSettings settings { {}, SettingsTree::create(root["classes"], "classes", faults),
         SettingsTree::create(root["accounts"], "accounts", faults),
         SettingsTree::create(root["endpoints"], "endpoints", faults) };
     document.classes = read_leaves(settings.classes, class_rules(document.tiers), faults);
@@ -381,7 +381,7 @@
     check_accounts(document, faults);
     check_endpoints(document, faults);
     check_floors(document, faults);
-    if (faults.size() != faults_before)
+    if (faults.size() != fault_count_before)
         return {};
     settings.document = std::move(document);
     return settings;
@@ -389,15 +389,15 @@
 
 }
 
-std::optional<ReadSettings> read_settings(std::string const& text, std::vector<SettingsFault>& faults)
+std::optional<CheckedSettings> read_settings(std::string const& text, std::vector<SettingsFault>& faults)
 {
-    auto const faults_before = faults.size();
+    auto const fault_count_before = faults.size();
     check_document_text(text, faults);
-    if (faults.size() != faults_before)
+    if (faults.size() != fault_count_before)
         return {};
     // NOTE: The YAML library throws on some nodes that are not there or of another kind; that is a bad document.
     try {
-        return read_loaded(YAML::Load(text), faults);
+        return read_document(YAML::Load(text), faults);
     } catch (YAML::Exception const& exception) {
         faults.push_back({ "", exception.mark.line + 1, "", exception.msg });
         return {};
--- a/Libraries/LibSettings/SettingsReader.h
+++ b/Libraries/LibSettings/SettingsReader.h
@@ -5,11 +5,11 @@
 
 namespace Settings {
 
-inline constexpr std::size_t largest_document_bytes = 4U << 20U;
-inline constexpr std::size_t most_aliases = 64;
+inline constexpr std::size_t max_document_bytes = 4U << 20U;
+inline constexpr std::size_t max_aliases = 64;
 
 /// A checked document with the trees it came from.
-struct ReadSettings {
+struct CheckedSettings {
     SettingsDocument document;
     SettingsTree classes;
     SettingsTree accounts;
@@ -17,6 +17,6 @@
 };
 
 /// Reads and checks a document. Returns nothing and at least one fault when anything is wrong with it.
-[[nodiscard]] std::optional<ReadSettings> read_settings(std::string const& text, std::vector<SettingsFault>& faults);
+[[nodiscard]] std::optional<CheckedSettings> read_settings(std::string const& text, std::vector<SettingsFault>& faults);
 
 }
--- a/Libraries/LibSettings/SettingsTree.cpp
+++ b/Libraries/LibSettings/SettingsTree.cpp
@@ -64,7 +64,7 @@
         faults.push_back({ path, line_of(node), "", "a branch must be a map with `set` and `branches`" });
         return;
     }
-    if (depth > deepest_branch) {
+    if (depth > max_branch_depth) {
         faults.push_back({ path, line_of(node), "", "branches are nested too deep" });
         return;
     }
--- a/Libraries/LibSettings/SettingsTree.h
+++ b/Libraries/LibSettings/SettingsTree.h
@@ -38,7 +38,7 @@
 /// A value together with the branch that set it.
 struct InheritedValue {
     SettingValue value;
-    std::string set_at;
+    std::string source_path;
 
     bool operator==(InheritedValue const&) const = default;
 };
@@ -55,7 +55,7 @@
         std::map<std::string, SettingValue> own_values;
     };
 
-    static constexpr std::size_t deepest_branch = 16;
+    static constexpr std::size_t max_branch_depth = 16;
 
     /// Reads the tree below `node`; faults are appended and the faulty part is left out.
     [[nodiscard]] static SettingsTree create(
--- a/Libraries/LibTraffic/Admission.h
+++ b/Libraries/LibTraffic/Admission.h
@@ -18,19 +18,19 @@
 /// Lets everything in until the queue is full. Goes with the baselines.
 class BoundedAdmission {
 public:
-    [[nodiscard]] std::optional<Reason> refusal(AdmissionQuery const& query) const;
+    [[nodiscard]] std::optional<Reason> refusal_reason(AdmissionQuery const& query) const;
 };
 
 /// Refuses at once what could only be answered too late: after the target where a late answer is worth nothing,
 /// after the caller's patience otherwise.
 class PredictiveAdmission {
 public:
-    [[nodiscard]] std::optional<Reason> refusal(AdmissionQuery const& query) const;
+    [[nodiscard]] std::optional<Reason> refusal_reason(AdmissionQuery const& query) const;
 };
 
 using AdmissionPolicy = std::variant<BoundedAdmission, PredictiveAdmission>;
 
 /// Requests that one pool keeps waiting on one box at the most.
-inline constexpr std::size_t longest_queue = 4096;
+inline constexpr std::size_t max_queue_length = 4096;
 
 }
--- a/Libraries/LibTraffic/ClassEstimates.h
+++ b/Libraries/LibTraffic/ClassEstimates.h
@@ -12,7 +12,7 @@
 /// An online estimate of one quantile that forgets: two P-square accumulators, the older one replaced in turn.
 class QuantileEstimate {
 public:
-    QuantileEstimate(double probability, Core::Duration first_guess);
+    QuantileEstimate(double probability, Core::Duration initial_value);
 
     void add(Core::Duration observed);
     [[nodiscard]] Core::Duration value() const { return this->current_value; }
@@ -21,23 +21,23 @@
     using Accumulator = boost::accumulators::accumulator_set<double,
         boost::accumulators::stats<boost::accumulators::tag::p_square_quantile>>;
 
-    static constexpr std::size_t samples_before_trust = 8;
-    static constexpr std::size_t samples_per_turn = 256;
+    static constexpr std::size_t min_samples = 8;
+    static constexpr std::size_t samples_per_rotation = 256;
 
     double probability;
     Accumulator older;
     Accumulator newer;
     std::size_t newer_samples { 0 };
-    bool has_older { false };
+    bool has_rotated { false };
     Core::Duration current_value;
 };
 
 /// An exponentially weighted mean.
 class MovingMean {
 public:
-    explicit MovingMean(double first_guess, double weight_of_new = 0.1)
-        : current_value(first_guess)
-        , weight(weight_of_new)
+    explicit MovingMean(double initial_value, double new_sample_weight = 0.1)
+        : current_value(initial_value)
+        , weight(new_sample_weight)
     {
     }
 
@@ -55,28 +55,28 @@
     explicit ClassEstimates(Settings::ClassSettings const& settings);
 
     void observe_first_token(Core::Duration after_dispatch);
-    void observe_whole(Core::Duration after_dispatch);
+    void observe_completion(Core::Duration after_dispatch);
 
     /// High quantile of the time from dispatch to what the target counts.
-    [[nodiscard]] Core::Duration time_to_target() const;
+    [[nodiscard]] Core::Duration high_time_to_target() const;
     /// Usual time from dispatch to what the target counts.
-    [[nodiscard]] Core::Duration usual_time_to_target() const;
-    [[nodiscard]] Core::Duration first_token() const { return this->first_token_high.value(); }
+    [[nodiscard]] Core::Duration typical_time_to_target() const;
+    [[nodiscard]] Core::Duration high_first_token() const { return this->first_token_high.value(); }
     [[nodiscard]] Core::Duration typical_first_token() const
     {
         return Core::from_seconds(this->first_token_mean.value());
     }
     /// Mean time that a request of this class holds a slot.
-    [[nodiscard]] Core::Duration mean_whole() const { return Core::from_seconds(this->whole_mean.value()); }
-    [[nodiscard]] Core::Duration median_whole() const { return this->whole_median.value(); }
+    [[nodiscard]] Core::Duration mean_duration() const { return Core::from_seconds(this->duration_mean.value()); }
+    [[nodiscard]] Core::Duration median_duration() const { return this->duration_median.value(); }
 
 private:
     Settings::TargetKind target_kind;
     QuantileEstimate first_token_high;
-    QuantileEstimate whole_high;
-    QuantileEstimate whole_median;
+    QuantileEstimate duration_high;
+    QuantileEstimate duration_median;
     MovingMean first_token_mean;
-    MovingMean whole_mean;
+    MovingMean duration_mean;
 };
 
 }
--- a/Libraries/LibTraffic/DemandMeter.cpp
+++ b/Libraries/LibTraffic/DemandMeter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Highest share of a window that a tier fills even when the tiers above it ask for nothing.
-constexpr std::array<double, tier_count> highest_shares { 1.0, 0.9, 0.8 };
+constexpr std::array<double, tier_count> max_window_shares { 1.0, 0.9, 0.8 };
 
 std::size_t index_of(TierId tier)
 {
@@ -19,19 +19,19 @@
 
 double DemandMeter::decayed(Meter const& meter, Instant now)
 {
-    return meter.seconds * std::exp(-Core::to_seconds(now - meter.updated) / memory_seconds);
+    return meter.seconds * std::exp(-Core::to_seconds(now - meter.updated) / time_constant_seconds);
 }
 
-void DemandMeter::arrived(TierId tier, double seconds_of_work, Instant now)
+void DemandMeter::add_arrival(TierId tier, double seconds_of_work, Instant now)
 {
     auto& meter = this->meters[index_of(tier)];
     meter.seconds = decayed(meter, now) + seconds_of_work;
     meter.updated = now;
 }
 
-double DemandMeter::slots(TierId tier, Instant now) const
+double DemandMeter::required_slots(TierId tier, Instant now) const
 {
-    return decayed(this->meters[index_of(tier)], now) / memory_seconds;
+    return decayed(this->meters[index_of(tier)], now) / time_constant_seconds;
 }
 
 TierLimits limits_for_demand(DemandMeter const& demand, double total_window, int boxes, Instant now)
@@ -40,11 +40,11 @@
     double reserved = 0;
     for (std::uint32_t tier = 0; tier < tier_count; ++tier) {
         // NOTE: Arrivals vary like a Poisson stream, so one standard deviation is left free above the mean.
-        auto const kept_free = reserved + std::sqrt(reserved);
-        auto const left = total_window <= 0 ? 0 : std::max(0.0, 1 - kept_free / total_window);
-        limits[tier]
-            = tier == 0 ? WindowLimit { 1, 1, false } : WindowLimit { std::min(left, highest_shares[tier]), 0, true };
-        reserved += demand.slots(TierId { tier }, now) * boxes;
+        auto const reserve_with_margin = reserved + std::sqrt(reserved);
+        auto const left = total_window <= 0 ? 0 : std::max(0.0, 1 - reserve_with_margin / total_window);
+        limits[tier] = tier == 0 ? WindowLimit { 1, 1, false }
+                                 : WindowLimit { std::min(left, max_window_shares[tier]), 0, true };
+        reserved += demand.required_slots(TierId { tier }, now) * boxes;
     }
     return limits;
 }
--- a/Libraries/LibTraffic/DemandMeter.h
+++ b/Libraries/LibTraffic/DemandMeter.h
@@ -11,16 +11,16 @@
 /// How many slots each tier asks for, from what arrives at this box: seconds of work a second, over a moving window.
 class DemandMeter {
 public:
-    void arrived(TierId tier, double seconds_of_work, Instant now);
+    void add_arrival(TierId tier, double seconds_of_work, Instant now);
     /// Slots that the tier keeps busy at this rate.
-    [[nodiscard]] double slots(TierId tier, Instant now) const;
+    [[nodiscard]] double required_slots(TierId tier, Instant now) const;
 
 private:
     struct Meter {
         double seconds { 0 };
         Instant updated;
     };
-    static constexpr double memory_seconds = 2.0;
+    static constexpr double time_constant_seconds = 2.0;
 
     [[nodiscard]] static double decayed(Meter const& meter, Instant now);
 
--- a/Libraries/LibTraffic/EndpointTable.cpp
+++ b/Libraries/LibTraffic/EndpointTable.cpp
@@ -49,7 +49,7 @@
 {
     double total = 0;
     for (auto const& view : this->views)
-        total += view.takes_work(now) ? view.window() : 0;
+        total += view.accepts_work(now) ? view.window() : 0;
     return total;
 }
 
@@ -57,13 +57,13 @@
 {
     double total = 0;
     for (auto const& view : this->views)
-        total += view.takes_work(now) ? view.estimated_running(now) : 0;
+        total += view.accepts_work(now) ? view.estimated_running(now) : 0;
     return total;
 }
 
-bool EndpointTable::any_takes_work(Instant now) const
+bool EndpointTable::any_accepts_work(Instant now) const
 {
-    return std::ranges::any_of(this->views, [&](EndpointView const& view) { return view.takes_work(now); });
+    return std::ranges::any_of(this->views, [&](EndpointView const& view) { return view.accepts_work(now); });
 }
 
 }
--- a/Libraries/LibTraffic/EndpointTable.h
+++ b/Libraries/LibTraffic/EndpointTable.h
@@ -22,7 +22,7 @@
     [[nodiscard]] double total_window(Instant now) const;
     /// Requests believed to be at the endpoints that take work, of all boxes.
     [[nodiscard]] double total_estimated_running(Instant now) const;
-    [[nodiscard]] bool any_takes_work(Instant now) const;
+    [[nodiscard]] bool any_accepts_work(Instant now) const;
 
 private:
     std::vector<EndpointId> ids;
--- a/Libraries/LibTraffic/EndpointView.cpp
+++ b/Libraries/LibTraffic/EndpointView.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double shortest_hold_seconds = 0.001;
+constexpr double min_slot_seconds = 0.001;
 
 }
 
@@ -16,7 +16,7 @@
     : endpoint_settings(settings)
     , boxes(box_count)
     , reported_slots(settings.slots)
-    , learnt_window(settings.slots)
+    , current_window(settings.slots)
 {
 }
 
@@ -25,26 +25,26 @@
     this->boxes = box_count;
     if (settings.slots != this->endpoint_settings.slots) {
         this->reported_slots = settings.slots;
-        this->learnt_window = settings.slots;
+        this->current_window = settings.slots;
     }
     this->endpoint_settings = settings;
 }
 
-void EndpointView::started(Instant now)
+void EndpointView::request_started(Instant now)
 {
-    ++this->running_here;
-    this->changes.push_back({ now, this->running_here });
-    this->forget_changes_before(now - report_lifetime);
+    ++this->own_running_count;
+    this->changes.push_back({ now, this->own_running_count });
+    this->drop_changes_before(now - report_lifetime);
 }
 
-void EndpointView::ended(Instant now)
+void EndpointView::request_ended(Instant now)
 {
-    VERIFY(this->running_here > 0);
-    --this->running_here;
-    this->changes.push_back({ now, this->running_here });
+    VERIFY(this->own_running_count > 0);
+    --this->own_running_count;
+    this->changes.push_back({ now, this->own_running_count });
 }
 
-void EndpointView::take_report(LoadReport const& report, Instant now)
+void EndpointView::apply_report(LoadReport const& report, Instant now)
 {
     if (this->has_report && report.measured_at < this->last_report.measured_at)
         return;
@@ -53,23 +53,23 @@
     this->is_leaving = report.leaving;
     if (report.slots != this->reported_slots) {
         this->reported_slots = report.slots;
-        this->learnt_window = report.slots;
+        this->current_window = report.slots;
     }
-    this->peers_running.add(this->peers_at_report());
-    this->forget_changes_before(std::max(report.measured_at, now - report_lifetime));
+    this->mean_peers_running.add(this->peers_at_report());
+    this->drop_changes_before(std::max(report.measured_at, now - report_lifetime));
 }
 
 void EndpointView::observe_first_token(double ratio)
 {
     this->first_token_ratio.add(ratio);
     if (ratio > congested_ratio)
-        this->learnt_window = std::max(1.0, this->learnt_window * window_decrease);
+        this->current_window = std::max(1.0, this->current_window * window_decrease);
     else
-        this->learnt_window
-            = std::min(static_cast<double>(this->reported_slots), this->learnt_window + window_increase);
+        this->current_window
+            = std::min(static_cast<double>(this->reported_slots), this->current_window + window_increase);
 }
 
-void EndpointView::remember_prefix(std::uint64_t prefix_hash)
+void EndpointView::add_prefix(std::uint64_t prefix_hash)
 {
     if (prefix_hash == 0)
         return;
@@ -79,26 +79,26 @@
     }
     this->prefix_order.push_front(prefix_hash);
     this->prefixes.emplace(prefix_hash, this->prefix_order.begin());
-    if (this->prefixes.size() <= most_prefixes)
+    if (this->prefixes.size() <= max_prefixes)
         return;
     this->prefixes.erase(this->prefix_order.back());
     this->prefix_order.pop_back();
 }
 
-bool EndpointView::takes_work(Instant now) const
+bool EndpointView::accepts_work(Instant now) const
 {
-    return !this->is_leaving && this->health.takes_work(now, this->running_here);
+    return !this->is_leaving && this->health.accepts_work(now, this->own_running_count);
 }
 
 int EndpointView::own_running_at(Instant at) const
 {
     auto const after = std::ranges::upper_bound(this->changes, at, {}, &OwnChange::at);
     if (after == this->changes.begin())
-        return this->changes.empty() ? this->running_here : 0;
+        return this->changes.empty() ? this->own_running_count : 0;
     return std::prev(after)->running_after;
 }
 
-void EndpointView::forget_changes_before(Instant at)
+void EndpointView::drop_changes_before(Instant at)
 {
     // NOTE: The last change before `at` stays, because it tells what was running at `at`.
     while (this->changes.size() > 1 && this->changes[1].at <= at)
@@ -111,28 +111,28 @@
     return std::max(0, reported - this->own_running_at(this->last_report.measured_at));
 }
 
-double EndpointView::estimated_running(Instant now, bool assumes_peers_grow) const
+double EndpointView::estimated_running(Instant now, bool assumes_peer_growth) const
 {
     bool const report_is_usable = this->has_report && now - this->last_report.measured_at <= report_lifetime;
     if (!report_is_usable)
-        return static_cast<double>(this->running_here) * this->boxes;
+        return static_cast<double>(this->own_running_count) * this->boxes;
     auto const own_then = this->own_running_at(this->last_report.measured_at);
     auto const age = Core::to_seconds(now - this->last_report.measured_at);
-    auto const fading = std::exp(-age / std::max(shortest_hold_seconds, this->hold_seconds.value()));
-    auto const usual = this->peers_running.value();
-    auto const peers_now = usual + (this->peers_at_report() - usual) * fading;
-    auto const own_growth = std::max(0, this->running_here - own_then);
-    auto const peers_growth = assumes_peers_grow ? own_growth * (this->boxes - 1) : 0;
-    return peers_now + peers_growth + this->running_here;
+    auto const decay = std::exp(-age / std::max(min_slot_seconds, this->slot_seconds.value()));
+    auto const mean_peers = this->mean_peers_running.value();
+    auto const peers_now = mean_peers + (this->peers_at_report() - mean_peers) * decay;
+    auto const own_growth = std::max(0, this->own_running_count - own_then);
+    auto const peers_growth = assumes_peer_growth ? own_growth * (this->boxes - 1) : 0;
+    return peers_now + peers_growth + this->own_running_count;
 }
 
-bool EndpointView::has_room(WindowLimit const& limit, Instant now) const
+bool EndpointView::has_capacity(WindowLimit const& limit, Instant now) const
 {
     if (limit.share <= 0)
         return false;
     // NOTE: At least one request fits, else a small endpoint would never serve the lower tiers.
-    auto const most = std::max(1.0, this->learnt_window * limit.share) + limit.extra;
-    return this->estimated_running(now, limit.assumes_peers_grow) + 1 <= most;
+    auto const max_running = std::max(1.0, this->current_window * limit.share) + limit.extra_requests;
+    return this->estimated_running(now, limit.assumes_peer_growth) + 1 <= max_running;
 }
 
 }
--- a/Libraries/LibTraffic/EndpointView.h
+++ b/Libraries/LibTraffic/EndpointView.h
@@ -15,10 +15,10 @@
     /// Share of the window.
     double share { 1 };
     /// Requests beyond the share that may wait at the endpoint, so that its next free slot is taken at once.
-    double extra { 0 };
+    double extra_requests { 0 };
     /// Whether to assume that each peer has started as much as this box since the report. Careful, so for work that
     /// must leave room; it would leave slots empty if urgent work did it too.
-    bool assumes_peers_grow { false };
+    bool assumes_peer_growth { false };
 
     bool operator==(WindowLimit const&) const = default;
 };
@@ -33,29 +33,29 @@
     EndpointView(Settings::EndpointSettings const& settings, int boxes);
 
     void set_settings(Settings::EndpointSettings const& settings, int boxes);
-    void started(Instant now);
-    void ended(Instant now);
-    void take_report(LoadReport const& report, Instant now);
+    void request_started(Instant now);
+    void request_ended(Instant now);
+    void apply_report(LoadReport const& report, Instant now);
     void set_leaving(bool leaving) { this->is_leaving = leaving; }
     /// `ratio` is the observed time to the first token over the typical one of its class.
     void observe_first_token(double ratio);
     /// How long a whole request held its slot.
-    void observe_hold(Duration held) { this->hold_seconds.add(Core::to_seconds(held)); }
-    void succeeded() { this->health.succeeded(); }
-    void failed(Instant now) { this->health.failed(now); }
-    void remember_prefix(std::uint64_t prefix_hash);
+    void observe_slot_time(Duration held) { this->slot_seconds.add(Core::to_seconds(held)); }
+    void record_success() { this->health.record_success(); }
+    void record_failure(Instant now) { this->health.record_failure(now); }
+    void add_prefix(std::uint64_t prefix_hash);
 
     /// Whether new work may be placed here at all: not leaving and not ejected, or due for a probe.
-    [[nodiscard]] bool takes_work(Instant now) const;
+    [[nodiscard]] bool accepts_work(Instant now) const;
     /// Requests believed to be running or queued there, by all boxes together.
-    [[nodiscard]] double estimated_running(Instant now, bool assumes_peers_grow = false) const;
-    [[nodiscard]] bool has_room(WindowLimit const& limit, Instant now) const;
-    [[nodiscard]] double window() const { return this->learnt_window; }
-    [[nodiscard]] int own_running() const { return this->running_here; }
+    [[nodiscard]] double estimated_running(Instant now, bool assumes_peer_growth = false) const;
+    [[nodiscard]] bool has_capacity(WindowLimit const& limit, Instant now) const;
+    [[nodiscard]] double window() const { return this->current_window; }
+    [[nodiscard]] int own_running() const { return this->own_running_count; }
     [[nodiscard]] double slowness() const { return this->first_token_ratio.value(); }
     [[nodiscard]] bool has_prefix(std::uint64_t prefix_hash) const { return this->prefixes.contains(prefix_hash); }
     [[nodiscard]] bool leaving() const { return this->is_leaving; }
-    [[nodiscard]] bool ejected(Instant now) const { return this->health.ejected(now); }
+    [[nodiscard]] bool is_ejected(Instant now) const { return this->health.is_ejected(now); }
     [[nodiscard]] Settings::EndpointSettings const& settings() const { return this->endpoint_settings; }
 
 private:
@@ -66,12 +66,12 @@
 
     [[nodiscard]] double peers_at_report() const;
     [[nodiscard]] int own_running_at(Instant at) const;
-    void forget_changes_before(Instant at);
+    void drop_changes_before(Instant at);
 
     /// A report older than this says nothing any more.
     static constexpr Duration report_lifetime { std::chrono::seconds(15) };
-    static constexpr std::size_t most_prefixes = 64;
-    static constexpr double first_hold_seconds = 1.0;
+    static constexpr std::size_t max_prefixes = 64;
+    static constexpr double initial_slot_seconds = 1.0;
     static constexpr double congested_ratio = 3.0;
     static constexpr double window_decrease = 0.95;
     static constexpr double window_increase = 0.05;
@@ -79,16 +79,16 @@
     Settings::EndpointSettings endpoint_settings;
     int boxes { 1 };
     int reported_slots { 1 };
-    double learnt_window { 1 };
-    int running_here { 0 };
+    double current_window { 1 };
+    int own_running_count { 0 };
     std::deque<OwnChange> changes;
     LoadReport last_report;
     bool has_report { false };
     bool is_leaving { false };
     EndpointHealth health;
     MovingMean first_token_ratio { 1.0 };
-    MovingMean hold_seconds { first_hold_seconds };
-    MovingMean peers_running { 0 };
+    MovingMean slot_seconds { initial_slot_seconds };
+    MovingMean mean_peers_running { 0 };
     std::list<std::uint64_t> prefix_order;
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> prefixes;
 };
--- a/Libraries/LibTraffic/FairShares.cpp
+++ b/Libraries/LibTraffic/FairShares.cpp
@@ -4,13 +4,13 @@
 
 namespace Traffic {
 
-void FairShares::became_backlogged(TierId tier, AccountId account, double least_served)
+void FairShares::raise_to_least_served(TierId tier, AccountId account, double least_served)
 {
     auto& served = this->served_seconds[{ tier, account }];
     served = std::max(served, least_served);
 }
 
-void FairShares::forget(TierId tier)
+void FairShares::reset(TierId tier)
 {
     std::erase_if(this->served_seconds, [&](auto const& entry) { return entry.first.first == tier; });
 }
@@ -26,10 +26,10 @@
     return found == this->served_seconds.end() ? 0 : found->second;
 }
 
-void FloorLedger::work_dispatched(ClassId earning_class, double floor, double seconds, double mean_seconds)
+void FloorLedger::earn(ClassId earning_class, double floor, double seconds, double mean_seconds)
 {
     auto& credit = this->credit_seconds[earning_class];
-    credit = std::min(credit + floor * seconds, most_requests_saved * mean_seconds);
+    credit = std::min(credit + floor * seconds, max_saved_requests * mean_seconds);
 }
 
 bool FloorLedger::is_due(ClassId request_class, double mean_seconds) const
@@ -43,9 +43,9 @@
     this->credit_seconds[request_class] -= seconds;
 }
 
-void RetryBudget::request_arrived(double share)
+void RetryBudget::add_request(double share)
 {
-    this->tokens = std::min(this->tokens + share, most_saved);
+    this->tokens = std::min(this->tokens + share, max_tokens);
 }
 
 bool RetryBudget::try_spend()
--- a/Libraries/LibTraffic/FairShares.h
+++ b/Libraries/LibTraffic/FairShares.h
@@ -11,9 +11,9 @@
 class FairShares {
 public:
     /// An account that had nothing waiting starts level with the least served one, not with a credit saved up.
-    void became_backlogged(TierId tier, AccountId account, double least_served);
+    void raise_to_least_served(TierId tier, AccountId account, double least_served);
     /// Nothing of the tier waits: who was served more in the past owes nothing to who comes next.
-    void forget(TierId tier);
+    void reset(TierId tier);
     void charge(TierId tier, AccountId account, double seconds, double weight);
     [[nodiscard]] double served(TierId tier, AccountId account) const;
 
@@ -25,12 +25,12 @@
 class FloorLedger {
 public:
     /// `seconds` of work were dispatched; each waiting class with a floor earns its share of it.
-    void work_dispatched(ClassId earning_class, double floor, double seconds, double mean_seconds);
+    void earn(ClassId earning_class, double floor, double seconds, double mean_seconds);
     [[nodiscard]] bool is_due(ClassId request_class, double mean_seconds) const;
     void spend(ClassId request_class, double seconds);
 
 private:
-    static constexpr double most_requests_saved = 2.0;
+    static constexpr double max_saved_requests = 2.0;
 
     std::map<ClassId, double> credit_seconds;
 };
@@ -38,13 +38,13 @@
 /// Retries are a bounded share of requests, so that they can't multiply a failure's load.
 class RetryBudget {
 public:
-    void request_arrived(double share);
+    void add_request(double share);
     [[nodiscard]] bool try_spend();
 
 private:
-    static constexpr double most_saved = 10.0;
+    static constexpr double max_tokens = 10.0;
 
-    double tokens { most_saved };
+    double tokens { max_tokens };
 };
 
 }
--- a/Libraries/LibTraffic/Order.cpp
+++ b/Libraries/LibTraffic/Order.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr WindowLimit whole_window { 1, 1, false };
+constexpr WindowLimit full_window { 1, 1, false };
 
-std::optional<OrderChoice> first_come(RequestQueue const& queue, std::vector<TierId> const& tiers)
+std::optional<OrderChoice> first_queued(RequestQueue const& queue, std::vector<TierId> const& tiers)
 {
     QueuedRequest const* first = nullptr;
     for (auto const tier : tiers) {
@@ -22,21 +22,22 @@
     }
     if (first == nullptr)
         return {};
-    return OrderChoice { first->facts.id, whole_window, Reason::PlacedByBaseline };
+    return OrderChoice { first->facts.id, full_window, Reason::PlacedByBaseline };
 }
 
 /// How many requests may wait at one endpoint so that the last of them still meets its target. The endpoint's own
 /// queue is the only one that all boxes share, so an urgent request waits there rather than here.
-double queue_depth_in_time(OrderQuery const& query, ClassId request_class)
+double endpoint_queue_depth(OrderQuery const& query, ClassId request_class)
 {
     constexpr double share_of_slack = 0.5;
-    constexpr double deepest = 4;
+    constexpr double max_depth = 4;
     auto const& estimates = query.estimates.at(request_class);
-    auto const slack = Core::to_seconds(query.policy.classes.at(request_class).target - estimates.time_to_target());
-    auto const seconds_per_place = Core::to_seconds(estimates.mean_whole()) / std::max(1.0, query.mean_window);
+    auto const slack
+        = Core::to_seconds(query.policy.classes.at(request_class).target - estimates.high_time_to_target());
+    auto const seconds_per_place = Core::to_seconds(estimates.mean_duration()) / std::max(1.0, query.mean_window);
     if (seconds_per_place <= 0)
         return 1;
-    return std::clamp(std::floor(share_of_slack * slack / seconds_per_place), 1.0, deepest);
+    return std::clamp(std::floor(share_of_slack * slack / seconds_per_place), 1.0, max_depth);
 }
 
 std::vector<OrderChoice> at_most_one(std::optional<OrderChoice> const& choice)
@@ -49,13 +50,14 @@
 Duration slack_of(
     QueuedRequest const& request, Settings::ClassSettings const& settings, ClassEstimates const& estimates, Instant now)
 {
-    auto const taken = settings.late_answer_useful ? estimates.usual_time_to_target() : estimates.time_to_target();
-    return request.facts.arrived + settings.target - taken - now;
+    auto const time_to_target
+        = settings.late_answer_useful ? estimates.typical_time_to_target() : estimates.high_time_to_target();
+    return request.facts.arrived + settings.target - time_to_target - now;
 }
 
 std::vector<OrderChoice> FifoOrder::next(OrderQuery const& query) const
 {
-    return at_most_one(first_come(query.queue, query.queue.tiers()));
+    return at_most_one(first_queued(query.queue, query.queue.tiers()));
 }
 
 std::vector<OrderChoice> StrictOrder::next(OrderQuery const& query) const
@@ -64,7 +66,7 @@
     if (tiers.empty())
         return {};
     tiers.resize(1);
-    return at_most_one(first_come(query.queue, tiers));
+    return at_most_one(first_queued(query.queue, tiers));
 }
 
 std::vector<OrderChoice> DeadlineOrder::next(OrderQuery const& query) const
@@ -90,7 +92,7 @@
         auto const size = entry.second;
         auto const& settings = query.policy.classes.at(request_class);
         if (size == 0 || settings.floor == 0
-            || !query.floors.is_due(request_class, Core::to_seconds(query.estimates.at(request_class).mean_whole())))
+            || !query.floors.is_due(request_class, Core::to_seconds(query.estimates.at(request_class).mean_duration())))
             continue;
         QueuedRequest const* first = nullptr;
         query.queue.for_each_flow(settings.tier, [&](Flow const& flow) {
@@ -100,7 +102,7 @@
                 first = &flow.requests.front();
         });
         if (first != nullptr)
-            return OrderChoice { first->facts.id, whole_window, Reason::PlacedByFloor };
+            return OrderChoice { first->facts.id, full_window, Reason::PlacedByFloor };
     }
     return {};
 }
@@ -115,7 +117,7 @@
     auto least_slack = Duration::max();
     query.queue.for_each_flow(tier, [&](Flow const& flow) {
         auto const& estimates = query.estimates.at(flow.request_class);
-        auto const quantum = quantum_requests * Core::to_seconds(estimates.mean_whole());
+        auto const quantum = quantum_requests * Core::to_seconds(estimates.mean_duration());
         if (query.shares.served(tier, flow.account) > least_served + quantum)
             return;
         auto const& head = flow.requests.front();
@@ -135,7 +137,7 @@
         return {};
     auto limit = query.limits[std::min<std::size_t>(tier.value(), tier_count - 1)];
     if (tier.value() == 0)
-        limit.extra = queue_depth_in_time(query, chosen->facts.request_class);
+        limit.extra_requests = endpoint_queue_depth(query, chosen->facts.request_class);
     return OrderChoice { chosen->facts.id, limit, Reason::PlacedInTierOrder };
 }
 
--- a/Libraries/LibTraffic/Placement.h
+++ b/Libraries/LibTraffic/Placement.h
@@ -12,9 +12,9 @@
     RequestFacts const& facts;
     WindowLimit limit;
     /// An endpoint that failed this request before; taken only when there is no other.
-    std::optional<EndpointId> avoid;
+    std::optional<EndpointId> avoided_endpoint;
     /// An endpoint where a slot has just come free; the whole pool is scanned only without it.
-    std::optional<EndpointId> hint;
+    std::optional<EndpointId> suggested_endpoint;
     std::string const& failure_domain;
     Duration typical_first_token { 0 };
     Instant now;
@@ -22,7 +22,7 @@
 
 struct PlacementChoice {
     EndpointId endpoint;
-    std::array<CandidateScore, most_candidates> candidates {};
+    std::array<CandidateScore, max_candidates> candidates {};
     std::uint32_t candidate_count { 0 };
 };
 
@@ -48,9 +48,9 @@
     [[nodiscard]] std::optional<PlacementChoice> place(PlacementQuery const& query, pcg32& random) const;
 
 private:
-    static constexpr std::size_t tries_before_scan = 8;
+    static constexpr std::size_t max_samples = 8;
     /// Pools up to this size are always scanned; it costs less than the tries.
-    static constexpr std::size_t small_pool = 16;
+    static constexpr std::size_t max_scanned_pool = 16;
 };
 
 using PlacementPolicy = std::variant<RoundRobinPlacement, LeastOutstandingPlacement, SampledPlacement>;
--- a/Libraries/LibTraffic/RequestQueue.cpp
+++ b/Libraries/LibTraffic/RequestQueue.cpp
@@ -19,25 +19,25 @@
     return at->second;
 }
 
-void RequestQueue::count_in(QueuedRequest const& request)
+void RequestQueue::add_to_indexes(QueuedRequest const& request)
 {
     auto const key = key_of(request);
     auto const inserted = this->flow_of_request.emplace(request.facts.id, key).second;
     VERIFY(inserted);
-    ++this->sizes[key.request_class];
-    ++this->tier_sizes[key.tier];
+    ++this->size_by_class[key.request_class];
+    ++this->size_by_tier[key.tier];
     this->expiries.emplace(request.patience_end, request.facts.id);
 }
 
 void RequestQueue::push_back(QueuedRequest const& request)
 {
-    this->count_in(request);
+    this->add_to_indexes(request);
     this->flow_for(request).requests.push_back(request);
 }
 
 void RequestQueue::push_front(QueuedRequest const& request)
 {
-    this->count_in(request);
+    this->add_to_indexes(request);
     this->flow_for(request).requests.push_front(request);
 }
 
@@ -54,8 +54,8 @@
     VERIFY(at != requests.end());
     auto const removed = *at;
     requests.erase(at);
-    --this->sizes[flow->first.request_class];
-    --this->tier_sizes[flow->first.tier];
+    --this->size_by_class[flow->first.request_class];
+    --this->size_by_tier[flow->first.tier];
     this->expiries.erase({ removed.patience_end, request });
     if (requests.empty())
         this->flows.erase(flow);
@@ -95,14 +95,14 @@
 
 std::size_t RequestQueue::size_of_class(ClassId request_class) const
 {
-    auto const found = this->sizes.find(request_class);
-    return found == this->sizes.end() ? 0 : found->second;
+    auto const found = this->size_by_class.find(request_class);
+    return found == this->size_by_class.end() ? 0 : found->second;
 }
 
 std::size_t RequestQueue::size_of_tier(TierId tier) const
 {
-    auto const found = this->tier_sizes.find(tier);
-    return found == this->tier_sizes.end() ? 0 : found->second;
+    auto const found = this->size_by_tier.find(tier);
+    return found == this->size_by_tier.end() ? 0 : found->second;
 }
 
 void RequestQueue::for_each_flow(TierId tier, std::function<void(Flow const&)> const& callback) const
@@ -115,27 +115,27 @@
 std::vector<TierId> RequestQueue::tiers() const
 {
     std::vector<TierId> tiers;
-    for (auto const& [tier, size] : this->tier_sizes) {
+    for (auto const& [tier, size] : this->size_by_tier) {
         if (size > 0)
             tiers.push_back(tier);
     }
     return tiers;
 }
 
-std::optional<RequestId> RequestQueue::youngest_below(TierId tier) const
+std::optional<RequestId> RequestQueue::newest_below(TierId tier) const
 {
     if (this->flows.empty())
         return {};
     auto const lowest = this->flows.rbegin()->first.tier;
     if (lowest <= tier)
         return {};
-    QueuedRequest const* youngest = nullptr;
+    QueuedRequest const* newest = nullptr;
     this->for_each_flow(lowest, [&](Flow const& flow) {
         auto const& last = flow.requests.back();
-        if (youngest == nullptr || last.sequence > youngest->sequence)
-            youngest = &last;
+        if (newest == nullptr || last.sequence > newest->sequence)
+            newest = &last;
     });
-    return youngest->facts.id;
+    return newest->facts.id;
 }
 
 }
--- a/Libraries/LibTraffic/RequestQueue.h
+++ b/Libraries/LibTraffic/RequestQueue.h
@@ -49,13 +49,13 @@
     [[nodiscard]] std::size_t size() const { return this->flow_of_request.size(); }
     [[nodiscard]] bool has_class(ClassId request_class) const { return this->size_of_class(request_class) > 0; }
     [[nodiscard]] std::size_t size_of_class(ClassId request_class) const;
-    [[nodiscard]] std::map<ClassId, std::size_t> const& class_sizes() const { return this->sizes; }
+    [[nodiscard]] std::map<ClassId, std::size_t> const& class_sizes() const { return this->size_by_class; }
     [[nodiscard]] std::size_t size_of_tier(TierId tier) const;
     /// Calls back for each flow of the tier that has a request waiting.
     void for_each_flow(TierId tier, std::function<void(Flow const&)> const& callback) const;
     [[nodiscard]] std::vector<TierId> tiers() const;
     /// The youngest request of the lowest tier below `tier`, if any: what is shed to make room.
-    [[nodiscard]] std::optional<RequestId> youngest_below(TierId tier) const;
+    [[nodiscard]] std::optional<RequestId> newest_below(TierId tier) const;
 
 private:
     struct FlowKey {
@@ -68,12 +68,12 @@
 
     [[nodiscard]] static FlowKey key_of(QueuedRequest const& request);
     Flow& flow_for(QueuedRequest const& request);
-    void count_in(QueuedRequest const& request);
+    void add_to_indexes(QueuedRequest const& request);
 
     std::map<FlowKey, Flow> flows;
     std::unordered_map<RequestId, FlowKey> flow_of_request;
-    std::map<ClassId, std::size_t> sizes;
-    std::map<TierId, std::size_t> tier_sizes;
+    std::map<ClassId, std::size_t> size_by_class;
+    std::map<TierId, std::size_t> size_by_tier;
     std::set<std::pair<Instant, RequestId>> expiries;
 };
 
--- a/Libraries/LibTraffic/TrafficEngine.cpp
+++ b/Libraries/LibTraffic/TrafficEngine.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::uint32_t most_attempts = 3;
+constexpr std::uint32_t max_attempts = 3;
 /// More requests than ever wait at one endpoint.
-constexpr double any_depth = 1e6;
+constexpr double unlimited_depth = 1e6;
 
 }
 
@@ -21,7 +21,7 @@
     this->choose_policies();
     this->add_estimates();
     this->endpoints.reconfigure(this->policy);
-    this->renew_pool_load(Instant {});
+    this->update_pool_load(Instant {});
 }
 
 void TrafficEngine::reconfigure(PoolPolicy pool_policy, Instant)
@@ -62,21 +62,22 @@
     this->admission = BoundedAdmission {};
 }
 
-void TrafficEngine::renew_pool_load(Instant now)
+void TrafficEngine::update_pool_load(Instant now)
 {
     this->load = { this->endpoints.total_window(now), this->endpoints.total_estimated_running(now) };
     this->limits = limits_for_demand(this->demand, this->load.window, this->policy.routing.boxes, now);
 }
 
-std::optional<WindowLimit> TrafficEngine::limit_in_own_share(WindowLimit const& limit) const
+std::optional<WindowLimit> TrafficEngine::limit_within_own_share(WindowLimit const& limit) const
 {
     // NOTE: When all boxes are pressed alike, each keeping to its share keeps the endpoints' queues short, however old
     // the reports are, so inside the share a report can't forbid a placement. Rounded up, because seven boxes that each
     // round 1.7 places down to 1 leave a small pool idle.
     auto const boxes = static_cast<double>(this->policy.routing.boxes);
-    auto const places = this->load.window * limit.share + limit.extra * static_cast<double>(this->endpoints.size());
+    auto const places
+        = this->load.window * limit.share + limit.extra_requests * static_cast<double>(this->endpoints.size());
     if (static_cast<double>(this->running.size()) + 1 <= std::ceil(places / boxes))
-        return WindowLimit { 1, any_depth, false };
+        return WindowLimit { 1, unlimited_depth, false };
     // A box that is pressed alone borrows what the reports show to be free.
     auto const is_idle_enough = this->load.estimated_running + boxes <= this->load.window * limit.share;
     return is_idle_enough ? std::optional { limit } : std::nullopt;
@@ -99,21 +100,21 @@
     Actions actions;
     auto const& settings = this->class_of(facts);
     QueuedRequest const request { facts, settings.tier, this->next_sequence++, facts.arrived + settings.patience };
-    this->retry_budget.request_arrived(this->policy.routing.retry_share);
-    this->demand.arrived(settings.tier, Core::to_seconds(this->estimates_of(facts).mean_whole()), now);
-    auto const figures = this->figures_for(request, now);
+    this->retry_budget.add_request(this->policy.routing.retry_share);
+    this->demand.add_arrival(settings.tier, Core::to_seconds(this->estimates_of(facts).mean_duration()), now);
+    auto const inputs = this->inputs_for(request, now);
     AdmissionQuery const query { request, settings, this->estimates_of(facts), this->queue.size(),
-        figures.predicted_wait, now };
-    auto refusal = std::visit([&](auto const& chosen) { return chosen.refusal(query); }, this->admission);
-    if (!this->endpoints.any_takes_work(now) && this->policy.endpoints.empty())
+        inputs.predicted_wait, now };
+    auto refusal = std::visit([&](auto const& chosen) { return chosen.refusal_reason(query); }, this->admission);
+    if (!this->endpoints.any_accepts_work(now) && this->policy.endpoints.empty())
         refusal = Reason::NoEndpoint;
-    if (refusal == Reason::BacklogTooLong && this->queue.size() >= longest_queue && !this->is_baseline
-        && this->queue.youngest_below(settings.tier)) {
-        this->make_room_in_queue(settings.tier, actions, now);
+    if (refusal == Reason::BacklogTooLong && this->queue.size() >= max_queue_length && !this->is_baseline
+        && this->queue.newest_below(settings.tier)) {
+        this->shed_lower_tier_request(settings.tier, actions, now);
         refusal.reset();
     }
     // NOTE: An urgent request waits rather than being refused while lower work could still make way for it.
-    if (refusal && !this->is_baseline && *refusal != Reason::NoEndpoint && this->queue.size() < longest_queue
+    if (refusal && !this->is_baseline && *refusal != Reason::NoEndpoint && this->queue.size() < max_queue_length
         && this->preemption_victim(settings.tier))
         refusal.reset();
     if (refusal) {
@@ -121,26 +122,26 @@
         return actions;
     }
     this->enqueue(request, false);
-    this->pump(actions, now);
+    this->dispatch_queued(actions, now);
     if (this->queue.find(facts.id) != nullptr)
-        actions.emplace_back(Wait { facts.id, figures });
+        actions.emplace_back(Wait { facts.id, inputs });
     return actions;
 }
 
-void TrafficEngine::first_token(RequestId request, Instant now)
+void TrafficEngine::observe_first_token(RequestId request, Instant now)
 {
     auto const found = this->running.find(request);
     if (found == this->running.end() || found->second.first_token_seen)
         return;
     auto& attempt = found->second;
     attempt.first_token_seen = true;
-    attempt.seen_by_caller = attempt.request.facts.streaming;
+    attempt.partly_delivered = attempt.request.facts.streaming;
     auto& class_estimates = this->estimates.at(attempt.request.facts.request_class);
-    auto const taken = now - attempt.dispatched_at;
+    auto const elapsed = now - attempt.dispatched_at;
     auto const typical = class_estimates.typical_first_token();
     if (auto* view = this->endpoints.find(attempt.endpoint); view != nullptr && typical.count() > 0)
-        view->observe_first_token(Core::to_seconds(taken) / Core::to_seconds(typical));
-    class_estimates.observe_first_token(taken);
+        view->observe_first_token(Core::to_seconds(elapsed) / Core::to_seconds(typical));
+    class_estimates.observe_first_token(elapsed);
 }
 
 Actions TrafficEngine::finish(RequestId request, AttemptEnd const& end, Instant now)
@@ -153,13 +154,13 @@
     this->running.erase(found);
     this->observe_end(ended, end.result, now);
 
-    bool is_tried_again = false;
-    auto const reason = this->retry_reason(ended, end.result, now, is_tried_again);
-    if (is_tried_again) {
+    bool will_retry = false;
+    auto const reason = this->retry_reason(ended, end.result, now, will_retry);
+    if (will_retry) {
         auto& state = this->retries[request];
         state.attempts = ended.attempt;
         if (end.result != AttemptResult::Preempted) {
-            state.avoid = ended.endpoint;
+            state.avoided_endpoint = ended.endpoint;
             actions.emplace_back(Retry { request, reason });
         }
         this->enqueue(ended.request, true);
@@ -167,7 +168,7 @@
         this->retries.erase(request);
         actions.emplace_back(Conclude { request, end.result, reason });
     }
-    this->pump(actions, now, ended.endpoint);
+    this->dispatch_queued(actions, now, ended.endpoint);
     return actions;
 }
 
@@ -175,7 +176,7 @@
 {
     allowed = false;
     auto const& settings = this->class_of(ended.request.facts);
-    auto const is_in_patience = now < ended.request.patience_end;
+    auto const is_within_patience = now < ended.request.patience_end;
     switch (result) {
     case AttemptResult::Completed:
         return Reason::AnswerComplete;
@@ -186,10 +187,10 @@
     case AttemptResult::NotSent:
         return Reason::ClaimNotReadBack;
     case AttemptResult::Preempted:
-        allowed = is_in_patience;
+        allowed = is_within_patience;
         return allowed ? Reason::PreemptedForUrgent : Reason::PatienceExpired;
     case AttemptResult::Failed:
-        if (!settings.repeatable || ended.seen_by_caller)
+        if (!settings.repeatable || ended.partly_delivered)
             return Reason::RetryNotAllowed;
         break;
     case AttemptResult::ConnectionRefused:
@@ -199,7 +200,7 @@
             return Reason::RetryNotAllowed;
         break;
     }
-    if (ended.attempt >= most_attempts || !is_in_patience)
+    if (ended.attempt >= max_attempts || !is_within_patience)
         return Reason::EndpointError;
     if (!this->retry_budget.try_spend())
         return Reason::RetryBudgetSpent;
@@ -212,58 +213,58 @@
     auto* view = this->endpoints.find(ended.endpoint);
     if (view != nullptr) {
         if (!ended.preempted)
-            view->ended(now);
+            view->request_ended(now);
         if (result == AttemptResult::Completed)
-            view->succeeded();
+            view->record_success();
         else if (result == AttemptResult::ConnectionRefused || result == AttemptResult::Failed
             || result == AttemptResult::BrokenAfterDelivery)
-            view->failed(now);
+            view->record_failure(now);
     }
     if (result != AttemptResult::Completed)
         return;
     auto& class_estimates = this->estimates.at(ended.request.facts.request_class);
-    auto const taken = now - ended.dispatched_at;
+    auto const elapsed = now - ended.dispatched_at;
     if (view != nullptr)
-        view->observe_hold(taken);
+        view->observe_slot_time(elapsed);
     // NOTE: The account is charged for the true length once it is known, not for the estimate.
-    auto const correction = Core::to_seconds(taken) - Core::to_seconds(class_estimates.mean_whole());
+    auto const correction = Core::to_seconds(elapsed) - Core::to_seconds(class_estimates.mean_duration());
     auto const weight = this->policy.account_weights.find(ended.request.facts.account);
     this->shares.charge(ended.request.tier, ended.request.facts.account, correction,
         weight == this->policy.account_weights.end() ? 1 : weight->second);
-    class_estimates.observe_whole(taken);
+    class_estimates.observe_completion(elapsed);
 }
 
-Actions TrafficEngine::abandon(RequestId request, Instant now)
+Actions TrafficEngine::cancel(RequestId request, Instant now)
 {
     Actions actions;
     if (!this->queue.remove(request))
         return actions;
     this->retries.erase(request);
     actions.emplace_back(Conclude { request, AttemptResult::CallerGone, Reason::CallerGone });
-    this->pump(actions, now);
+    this->dispatch_queued(actions, now);
     return actions;
 }
 
-Actions TrafficEngine::take_report(EndpointId endpoint, LoadReport const& report, Instant now)
+Actions TrafficEngine::apply_report(EndpointId endpoint, LoadReport const& report, Instant now)
 {
     Actions actions;
     auto* view = this->endpoints.find(endpoint);
     if (view == nullptr)
         return actions;
-    view->take_report(report, now);
-    this->pump(actions, now, endpoint);
+    view->apply_report(report, now);
+    this->dispatch_queued(actions, now, endpoint);
     return actions;
 }
 
 Actions TrafficEngine::tick(Instant now)
 {
     Actions actions;
-    this->renew_pool_load(now);
+    this->update_pool_load(now);
     for (auto const& expired : this->queue.remove_expired(now))
         this->refuse(expired, Reason::PatienceExpired, actions, now);
     if (!this->is_baseline)
-        this->sort_out_late(actions, now);
-    this->pump(actions, now);
+        this->handle_late_requests(actions, now);
+    this->dispatch_queued(actions, now);
     if (!this->is_baseline && this->policy.routing.preemption)
         this->preempt_for_urgent(actions, now);
     return actions;
@@ -272,49 +273,50 @@
 void TrafficEngine::enqueue(QueuedRequest const& request, bool at_front)
 {
     if (this->queue.size_of_tier(request.tier) == 0)
-        this->shares.forget(request.tier);
+        this->shares.reset(request.tier);
     auto least_served = std::numeric_limits<double>::infinity();
-    bool is_waiting_already = false;
+    bool is_already_queued = false;
     this->queue.for_each_flow(request.tier, [&](Flow const& flow) {
         least_served = std::min(least_served, this->shares.served(request.tier, flow.account));
-        is_waiting_already |= flow.account == request.facts.account;
+        is_already_queued |= flow.account == request.facts.account;
     });
-    if (!is_waiting_already && std::isfinite(least_served))
-        this->shares.became_backlogged(request.tier, request.facts.account, least_served);
+    if (!is_already_queued && std::isfinite(least_served))
+        this->shares.raise_to_least_served(request.tier, request.facts.account, least_served);
     if (at_front)
         this->queue.push_front(request);
     else
         this->queue.push_back(request);
 }
 
-void TrafficEngine::make_room_in_queue(TierId tier, Actions& actions, Instant now)
+void TrafficEngine::shed_lower_tier_request(TierId tier, Actions& actions, Instant now)
 {
-    auto const victim = this->queue.youngest_below(tier);
+    auto const victim = this->queue.newest_below(tier);
     VERIFY(victim.has_value());
     auto const removed = this->queue.remove(*victim);
     VERIFY(removed.has_value());
     this->refuse(*removed, Reason::BacklogTooLong, actions, now);
 }
 
-void TrafficEngine::pump(Actions& actions, Instant now, std::optional<EndpointId> hint)
+void TrafficEngine::dispatch_queued(Actions& actions, Instant now, std::optional<EndpointId> suggested_endpoint)
 {
     while (this->queue.size() > 0) {
         auto const choices
             = std::visit([&](auto const& chosen) { return chosen.next(this->order_query(now)); }, this->order);
         auto const placed = std::ranges::any_of(
-            choices, [&](OrderChoice const& choice) { return this->place(choice, actions, now, hint); });
+            choices, [&](OrderChoice const& choice) { return this->place(choice, actions, now, suggested_endpoint); });
         if (!placed)
             return;
     }
 }
 
-bool TrafficEngine::place(OrderChoice const& choice, Actions& actions, Instant now, std::optional<EndpointId> hint)
+bool TrafficEngine::place(
+    OrderChoice const& choice, Actions& actions, Instant now, std::optional<EndpointId> suggested_endpoint)
 {
     auto const* request = this->queue.find(choice.request);
     VERIFY(request != nullptr);
     auto limit = std::optional { choice.limit };
     if (!this->is_baseline)
-        limit = this->limit_in_own_share(choice.limit);
+        limit = this->limit_within_own_share(choice.limit);
     if (!limit)
         return false;
     // NOTE: Lower tiers keep to the reports even inside the share, since the room they leave is meant for others.
@@ -322,8 +324,8 @@
         limit = choice.limit;
     auto const retry = this->retries.find(choice.request);
     PlacementQuery const query { this->endpoints, request->facts, *limit,
-        retry == this->retries.end() ? std::nullopt : retry->second.avoid, hint, this->policy.failure_domain,
-        this->estimates_of(request->facts).typical_first_token(), now };
+        retry == this->retries.end() ? std::nullopt : retry->second.avoided_endpoint, suggested_endpoint,
+        this->policy.failure_domain, this->estimates_of(request->facts).typical_first_token(), now };
     auto const endpoint = std::visit([&](auto& chosen) { return chosen.place(query, this->random); }, this->placement);
     if (!endpoint)
         return false;
@@ -337,26 +339,26 @@
     QueuedRequest const& request, PlacementChoice const& place, Reason reason, Actions& actions, Instant now)
 {
     auto* view = this->endpoints.find(place.endpoint);
-    VERIFY(view != nullptr && view->takes_work(now));
-    view->started(now);
-    view->remember_prefix(request.facts.prefix_hash);
+    VERIFY(view != nullptr && view->accepts_work(now));
+    view->request_started(now);
+    view->add_prefix(request.facts.prefix_hash);
     auto const retry = this->retries.find(request.facts.id);
     auto const attempt = retry == this->retries.end() ? 1 : retry->second.attempts + 1;
-    DecisionFigures figures;
-    figures.queued = static_cast<std::uint32_t>(this->queue.size());
-    figures.running = static_cast<std::uint32_t>(this->running.size());
-    figures.slack = slack_of(request, this->class_of(request.facts), this->estimates_of(request.facts), now);
-    figures.candidates = place.candidates;
-    figures.candidate_count = place.candidate_count;
+    DecisionInputs inputs;
+    inputs.queued = static_cast<std::uint32_t>(this->queue.size());
+    inputs.running = static_cast<std::uint32_t>(this->running.size());
+    inputs.slack = slack_of(request, this->class_of(request.facts), this->estimates_of(request.facts), now);
+    inputs.candidates = place.candidates;
+    inputs.candidate_count = place.candidate_count;
     this->charge(request, reason);
     this->running.emplace(request.facts.id,
         Running { request, place.endpoint, now, attempt, reason == Reason::PlacedByFloor, false, false, false });
-    actions.emplace_back(Dispatch { request.facts.id, place.endpoint, request.tier, reason, attempt, figures });
+    actions.emplace_back(Dispatch { request.facts.id, place.endpoint, request.tier, reason, attempt, inputs });
 }
 
 void TrafficEngine::charge(QueuedRequest const& request, Reason reason)
 {
-    auto const seconds = Core::to_seconds(this->estimates_of(request.facts).mean_whole());
+    auto const seconds = Core::to_seconds(this->estimates_of(request.facts).mean_duration());
     auto const weight = this->policy.account_weights.find(request.facts.account);
     this->shares.charge(request.tier, request.facts.account, seconds,
         weight == this->policy.account_weights.end() ? 1 : weight->second);
@@ -365,8 +367,8 @@
     for (auto const& [request_class, size] : this->queue.class_sizes()) {
         auto const floor = this->policy.classes.at(request_class).floor;
         if (size > 0 && floor > 0)
-            this->floors.work_dispatched(
-                request_class, floor, seconds, Core::to_seconds(this->estimates.at(request_class).mean_whole()));
+            this->floors.earn(
+                request_class, floor, seconds, Core::to_seconds(this->estimates.at(request_class).mean_duration()));
     }
 }
 
@@ -386,15 +388,15 @@
             if (tier == request.tier && flow.is_late && !request.is_late)
                 return;
             auto const seconds = static_cast<double>(flow.requests.size())
-                * Core::to_seconds(this->estimates.at(flow.request_class).mean_whole());
+                * Core::to_seconds(this->estimates.at(flow.request_class).mean_duration());
             if (tier < request.tier)
                 seconds_ahead += seconds;
             else
                 seconds_of_account[flow.account] += seconds;
         });
     }
-    auto const own_seconds
-        = seconds_of_account[request.facts.account] + Core::to_seconds(this->estimates_of(request.facts).mean_whole());
+    auto const own_seconds = seconds_of_account[request.facts.account]
+        + Core::to_seconds(this->estimates_of(request.facts).mean_duration());
     // NOTE: By the time this request is served, fair shares let no other account run more than this one's own work.
     for (auto const& [account, seconds] : seconds_of_account)
         seconds_ahead += std::min(seconds, own_seconds);
@@ -403,14 +405,14 @@
     return Core::from_seconds(seconds_ahead / slots);
 }
 
-DecisionFigures TrafficEngine::figures_for(QueuedRequest const& request, Instant now) const
+DecisionInputs TrafficEngine::inputs_for(QueuedRequest const& request, Instant now) const
 {
-    DecisionFigures figures;
-    figures.queued = static_cast<std::uint32_t>(this->queue.size());
-    figures.running = static_cast<std::uint32_t>(this->running.size());
-    figures.predicted_wait = this->predicted_wait(request, now);
-    figures.slack = slack_of(request, this->class_of(request.facts), this->estimates_of(request.facts), now);
-    return figures;
+    DecisionInputs inputs;
+    inputs.queued = static_cast<std::uint32_t>(this->queue.size());
+    inputs.running = static_cast<std::uint32_t>(this->running.size());
+    inputs.predicted_wait = this->predicted_wait(request, now);
+    inputs.slack = slack_of(request, this->class_of(request.facts), this->estimates_of(request.facts), now);
+    return inputs;
 }
 
 PoolStatus TrafficEngine::status() const
--- a/Libraries/LibTraffic/TrafficEngine.h
+++ b/Libraries/LibTraffic/TrafficEngine.h
@@ -30,12 +30,12 @@
 
     [[nodiscard]] Actions submit(RequestFacts const& facts, Instant now);
     /// The first piece of an answer has come.
-    void first_token(RequestId request, Instant now);
+    void observe_first_token(RequestId request, Instant now);
     /// An attempt ended.
     [[nodiscard]] Actions finish(RequestId request, AttemptEnd const& end, Instant now);
     /// The caller of a waiting request has gone. A running one ends through finish().
-    [[nodiscard]] Actions abandon(RequestId request, Instant now);
-    [[nodiscard]] Actions take_report(EndpointId endpoint, LoadReport const& report, Instant now);
+    [[nodiscard]] Actions cancel(RequestId request, Instant now);
+    [[nodiscard]] Actions apply_report(EndpointId endpoint, LoadReport const& report, Instant now);
     /// Gives up on what waited too long and places what can be placed. Call every few milliseconds.
     [[nodiscard]] Actions tick(Instant now);
 
@@ -49,8 +49,8 @@
         EndpointId endpoint;
         Instant dispatched_at;
         std::uint32_t attempt { 1 };
-        bool by_floor { false };
-        bool seen_by_caller { false };
+        bool placed_by_floor { false };
+        bool partly_delivered { false };
         bool first_token_seen { false };
         bool preempted { false };
     };
@@ -61,7 +61,7 @@
     };
     struct RetryState {
         std::uint32_t attempts { 0 };
-        std::optional<EndpointId> avoid;
+        std::optional<EndpointId> avoided_endpoint;
     };
 
     [[nodiscard]] Settings::ClassSettings const& class_of(RequestFacts const& facts) const
@@ -74,23 +74,24 @@
     }
     [[nodiscard]] OrderQuery order_query(Instant now) const;
     [[nodiscard]] Duration predicted_wait(QueuedRequest const& request, Instant now) const;
-    [[nodiscard]] DecisionFigures figures_for(QueuedRequest const& request, Instant now) const;
+    [[nodiscard]] DecisionInputs inputs_for(QueuedRequest const& request, Instant now) const;
 
     void choose_policies();
-    void renew_pool_load(Instant now);
+    void update_pool_load(Instant now);
     /// The limit for work that no report may keep from running while this box is inside its share of the pool.
-    [[nodiscard]] std::optional<WindowLimit> limit_in_own_share(WindowLimit const& limit) const;
+    [[nodiscard]] std::optional<WindowLimit> limit_within_own_share(WindowLimit const& limit) const;
     void add_estimates();
     void enqueue(QueuedRequest const& request, bool at_front);
-    void make_room_in_queue(TierId tier, Actions& actions, Instant now);
-    void pump(Actions& actions, Instant now, std::optional<EndpointId> hint = {});
-    [[nodiscard]] bool place(OrderChoice const& choice, Actions& actions, Instant now, std::optional<EndpointId> hint);
+    void shed_lower_tier_request(TierId tier, Actions& actions, Instant now);
+    void dispatch_queued(Actions& actions, Instant now, std::optional<EndpointId> suggested_endpoint = {});
+    [[nodiscard]] bool place(
+        OrderChoice const& choice, Actions& actions, Instant now, std::optional<EndpointId> suggested_endpoint);
     void dispatch(
         QueuedRequest const& request, PlacementChoice const& place, Reason reason, Actions& actions, Instant now);
     void charge(QueuedRequest const& request, Reason reason);
     void preempt_for_urgent(Actions& actions, Instant now);
     [[nodiscard]] std::optional<RequestId> preemption_victim(TierId below) const;
-    void sort_out_late(Actions& actions, Instant now);
+    void handle_late_requests(Actions& actions, Instant now);
     void refuse(QueuedRequest const& request, Reason reason, Actions& actions, Instant now);
     void count_urgent_refusal(QueuedRequest const& request);
     [[nodiscard]] Reason retry_reason(Running const& running, AttemptResult result, Instant now, bool& allowed);
--- a/Libraries/LibTraffic/TrafficEngineOverload.cpp
+++ b/Libraries/LibTraffic/TrafficEngineOverload.cpp
@@ -12,9 +12,9 @@
 /// A waiting urgent request may preempt once it has this share of its target left before its latest start.
 constexpr int preemption_margin_divisor = 3;
 /// Preempting work further along than this share of its usual length wastes more than it wins.
-constexpr double furthest_preempted_progress = 0.5;
-constexpr Duration shortest_retry_after { std::chrono::seconds(1) };
-constexpr Duration longest_retry_after { std::chrono::minutes(5) };
+constexpr double max_preempted_progress = 0.5;
+constexpr Duration min_retry_after { std::chrono::seconds(1) };
+constexpr Duration max_retry_after { std::chrono::minutes(5) };
 
 }
 
@@ -24,9 +24,9 @@
         return {};
     Running const* victim = nullptr;
     for (auto const& [id, attempt] : this->running) {
-        auto const may_be_taken = attempt.request.tier > below && !attempt.by_floor && !attempt.seen_by_caller
-            && !attempt.preempted && this->class_of(attempt.request.facts).repeatable;
-        if (!may_be_taken)
+        auto const is_preemptible = attempt.request.tier > below && !attempt.placed_by_floor
+            && !attempt.partly_delivered && !attempt.preempted && this->class_of(attempt.request.facts).repeatable;
+        if (!is_preemptible)
             continue;
         // NOTE: The sequence breaks ties, so that the choice does not hang on the order of a hash table.
         auto const rank
@@ -60,43 +60,43 @@
         auto const victim = this->preemption_victim(urgent->tier);
         if (!victim)
             return;
-        auto& taken = this->running.at(*victim);
-        auto const usual = this->estimates_of(taken.request.facts).mean_whole();
-        if (Core::to_seconds(now - taken.dispatched_at) > furthest_preempted_progress * Core::to_seconds(usual))
+        auto& preempted_attempt = this->running.at(*victim);
+        auto const usual = this->estimates_of(preempted_attempt.request.facts).mean_duration();
+        if (Core::to_seconds(now - preempted_attempt.dispatched_at) > max_preempted_progress * Core::to_seconds(usual))
             return;
-        auto* view = this->endpoints.find(taken.endpoint);
+        auto* view = this->endpoints.find(preempted_attempt.endpoint);
         VERIFY(view != nullptr);
-        if (!view->takes_work(now))
+        if (!view->accepts_work(now))
             return;
-        taken.preempted = true;
-        view->ended(now);
-        actions.emplace_back(Preempt { *victim, taken.endpoint, Reason::PreemptedForUrgent });
+        preempted_attempt.preempted = true;
+        view->request_ended(now);
+        actions.emplace_back(Preempt { *victim, preempted_attempt.endpoint, Reason::PreemptedForUrgent });
         auto const request = this->queue.remove(urgent->facts.id);
         VERIFY(request.has_value());
-        PlacementChoice place { taken.endpoint, {}, 1 };
-        place.candidates[0] = { taken.endpoint, 0 };
+        PlacementChoice place { preempted_attempt.endpoint, {}, 1 };
+        place.candidates[0] = { preempted_attempt.endpoint, 0 };
         this->dispatch(*request, place, Reason::PreemptedForUrgent, actions, now);
     }
 }
 
-void TrafficEngine::sort_out_late(Actions& actions, Instant now)
+void TrafficEngine::handle_late_requests(Actions& actions, Instant now)
 {
     std::vector<RequestId> late;
-    std::vector<std::pair<RequestId, Reason>> hopeless;
+    std::vector<std::pair<RequestId, Reason>> to_refuse;
     for (auto const tier : this->queue.tiers()) {
         this->queue.for_each_flow(tier, [&](Flow const& flow) {
             auto const& settings = this->policy.classes.at(flow.request_class);
             auto const& class_estimates = this->estimates.at(flow.request_class);
             for (auto const& request : flow.requests) {
                 auto const is_late = slack_of(request, settings, class_estimates, now).count() < 0;
-                auto const outlasts_patience = now + class_estimates.median_whole() > request.patience_end;
+                auto const outlasts_patience = now + class_estimates.median_duration() > request.patience_end;
                 // NOTE: Requests of a flow stand in order of arrival, so those behind have more time left.
                 if (!is_late && !outlasts_patience)
                     break;
                 if (is_late && !settings.late_answer_useful)
-                    hopeless.emplace_back(request.facts.id, Reason::TargetOutOfReach);
+                    to_refuse.emplace_back(request.facts.id, Reason::TargetOutOfReach);
                 else if (outlasts_patience)
-                    hopeless.emplace_back(request.facts.id, Reason::PatienceExpired);
+                    to_refuse.emplace_back(request.facts.id, Reason::PatienceExpired);
                 else if (!flow.is_late)
                     late.push_back(request.facts.id);
                 else
@@ -106,7 +106,7 @@
     }
     for (auto const request : late)
         this->queue.mark_late(request);
-    for (auto const& [id, reason] : hopeless) {
+    for (auto const& [id, reason] : to_refuse) {
         auto const removed = this->queue.remove(id);
         VERIFY(removed.has_value());
         this->refuse(*removed, reason, actions, now);
@@ -115,11 +115,11 @@
 
 void TrafficEngine::refuse(QueuedRequest const& request, Reason reason, Actions& actions, Instant now)
 {
-    auto figures = this->figures_for(request, now);
-    auto const retry_after = std::clamp(figures.predicted_wait, shortest_retry_after, longest_retry_after);
+    auto inputs = this->inputs_for(request, now);
+    auto const retry_after = std::clamp(inputs.predicted_wait, min_retry_after, max_retry_after);
     this->count_urgent_refusal(request);
     this->retries.erase(request.facts.id);
-    actions.emplace_back(Refuse { request.facts.id, reason, retry_after, figures });
+    actions.emplace_back(Refuse { request.facts.id, reason, retry_after, inputs });
 }
 
 void TrafficEngine::count_urgent_refusal(QueuedRequest const& request)
@@ -130,7 +130,7 @@
     bool any_beyond_floor = false;
     for (auto const& [id, attempt] : this->running) {
         any_lower |= attempt.request.tier > request.tier;
-        any_beyond_floor |= attempt.request.tier > request.tier && !attempt.by_floor;
+        any_beyond_floor |= attempt.request.tier > request.tier && !attempt.placed_by_floor;
     }
     this->urgent_refusals_beside_lower_work += any_lower ? 1 : 0;
     this->lower_tier_sheds += any_beyond_floor ? 1 : 0;
--- a/Libraries/LibTraffic/TrafficTypes.h
+++ b/Libraries/LibTraffic/TrafficTypes.h
@@ -82,25 +82,25 @@
     bool operator==(CandidateScore const&) const = default;
 };
 
-inline constexpr std::size_t most_candidates = 3;
+inline constexpr std::size_t max_candidates = 3;
 
 /// The figures that a decision was taken on, kept so that it can be explained later.
-struct DecisionFigures {
+struct DecisionInputs {
     std::uint32_t queued { 0 };
     std::uint32_t running { 0 };
     Duration predicted_wait { 0 };
     /// Time left until the latest start that meets the target; negative when it has passed.
     Duration slack { 0 };
-    std::array<CandidateScore, most_candidates> candidates {};
+    std::array<CandidateScore, max_candidates> candidates {};
     std::uint32_t candidate_count { 0 };
 
-    bool operator==(DecisionFigures const&) const = default;
+    bool operator==(DecisionInputs const&) const = default;
 };
 
 /// The request waits in the queue.
 struct Wait {
     RequestId request;
-    DecisionFigures figures;
+    DecisionInputs inputs;
 
     bool operator==(Wait const&) const = default;
 };
@@ -112,7 +112,7 @@
     TierId tier;
     Reason reason { Reason::PlacedInTierOrder };
     std::uint32_t attempt { 1 };
-    DecisionFigures figures;
+    DecisionInputs inputs;
 
     bool operator==(Dispatch const&) const = default;
 };
@@ -122,7 +122,7 @@
     RequestId request;
     Reason reason { Reason::None };
     Duration retry_after { 0 };
-    DecisionFigures figures;
+    DecisionInputs inputs;
 
     bool operator==(Refuse const&) const = default;
 };
--- a/Programs/cleatbeam/ExplainLog.cpp
+++ b/Programs/cleatbeam/ExplainLog.cpp
@@ -24,7 +24,7 @@
         if (line.find(request) == std::string::npos)
             continue;
         auto pairs = Log::parse_line(line);
-        auto words = pairs["id"] == request ? Log::tell_event(pairs) : std::string();
+        auto words = pairs["id"] == request ? Log::describe_event(pairs) : std::string();
         if (!words.empty())
             events.push_back({ pairs["time"], pairs["box"], std::move(words) });
     }
--- a/Programs/cleatbeam/SettingsCommands.cpp
+++ b/Programs/cleatbeam/SettingsCommands.cpp
@@ -21,7 +21,7 @@
 constexpr int most_failed_reads = 30;
 constexpr char const* settings_stream = "settings";
 
-std::optional<Settings::ReadSettings> read_checked(std::string const& path, std::string& text)
+std::optional<Settings::CheckedSettings> read_checked(std::string const& path, std::string& text)
 {
     Core::LastReason last_reason;
     auto const file = read_file(path, last_reason);
@@ -157,7 +157,7 @@
         }
         std::cout << tree.branches()[*leaf].path << "\n";
         for (auto const& [field, inherited] : tree.resolve(*leaf))
-            std::cout << "  " << field << ": " << inherited.value.joined() << "   # from " << inherited.set_at
+            std::cout << "  " << field << ": " << inherited.value.joined() << "   # from " << inherited.source_path
                       << " line " << inherited.value.line << "\n";
         return exit_success;
     };
--- a/Tests/LibFate/TestFateLedger.cpp
+++ b/Tests/LibFate/TestFateLedger.cpp
@@ -32,10 +32,10 @@
     return std::get<Fate::MustClaim>(verdict).claim;
 }
 
-Fate::Answer answer_of(Fate::Verdict const& verdict)
+Fate::Rejection rejection_of(Fate::Verdict const& verdict)
 {
-    REQUIRE(std::holds_alternative<Fate::Answer>(verdict));
-    return std::get<Fate::Answer>(verdict);
+    REQUIRE(std::holds_alternative<Fate::Rejection>(verdict));
+    return std::get<Fate::Rejection>(verdict);
 }
 
 }
@@ -44,8 +44,8 @@
 {
     auto one = ledger_with_history(1);
     auto two = ledger_with_history(2);
-    auto const first = claim_of(one.ask(request(), now));
-    auto const second = claim_of(two.ask(request(), now));
+    auto const first = claim_of(one.check_or_claim(request(), now));
+    auto const second = claim_of(two.check_or_claim(request(), now));
     CHECK_FALSE(one.try_send(first));
     for (auto* ledger : { &one, &two }) {
         CHECK(ledger->apply(Offset { 7 }, first, now).empty());
@@ -55,26 +55,26 @@
     CHECK_FALSE(two.try_send(second));
     CHECK(one.try_send(first));
     CHECK_FALSE(one.try_send(first));
-    CHECK(std::get<Fate::HeldByOther>(two.look(first.key)).holder == first.claimant);
+    CHECK(std::get<Fate::HeldByOther>(two.current_verdict(first.key)).holder == first.claimant);
 }
 
 TEST_CASE("a claim that turns up after it was given up on is never sent and is settled not-run")
 {
     auto ledger = ledger_with_history(1);
-    auto const claim = claim_of(ledger.ask(request(), now));
+    auto const claim = claim_of(ledger.check_or_claim(request(), now));
     CHECK_FALSE(ledger.give_up(claim).has_value());
     auto const to_append = ledger.apply(Offset { 3 }, claim, now);
     REQUIRE(to_append.size() == 1);
     CHECK(std::get<Fate::Settled>(to_append[0]).result == Fate::Result::NotRun);
     CHECK_FALSE(ledger.try_send(claim));
     CHECK(ledger.apply(Offset { 4 }, to_append[0], now).empty());
-    CHECK(answer_of(ledger.ask(request(), now)).outcome == Outcome::NotRun);
+    CHECK(rejection_of(ledger.check_or_claim(request(), now)).outcome == Outcome::NotRun);
 }
 
 TEST_CASE("giving up on a claim that has been read back settles it not-run at once")
 {
     auto ledger = ledger_with_history(1);
-    auto const claim = claim_of(ledger.ask(request(), now));
+    auto const claim = claim_of(ledger.check_or_claim(request(), now));
     CHECK(ledger.apply(Offset { 3 }, claim, now).empty());
     auto const record = ledger.give_up(claim);
     REQUIRE(record.has_value());
@@ -85,55 +85,57 @@
 TEST_CASE("the answer of a finished run is replayed, a long one is not made up")
 {
     auto ledger = ledger_with_history(1);
-    auto const claim = claim_of(ledger.ask(request(), now));
+    auto const claim = claim_of(ledger.check_or_claim(request(), now));
     CHECK(ledger.apply(Offset { 3 }, claim, now).empty());
     Fate::Settled const settled { claim.key, claim.claimant, Fate::Result::Completed, 200, "text/plain", "answer",
         true };
     CHECK(ledger.apply(Offset { 4 }, settled, now).empty());
-    CHECK(std::get<Fate::Replay>(ledger.ask(request(), now)).settled.body == "answer");
-    auto const other = claim_of(ledger.ask(request(2), now));
+    CHECK(std::get<Fate::Replay>(ledger.check_or_claim(request(), now)).settled.body == "answer");
+    auto const other = claim_of(ledger.check_or_claim(request(2), now));
     CHECK(ledger.apply(Offset { 5 }, other, now).empty());
     Fate::Settled const not_kept { other.key, other.claimant, Fate::Result::Completed, 200, "text/plain", "", false };
     CHECK(ledger.apply(Offset { 6 }, not_kept, now).empty());
-    CHECK(answer_of(ledger.ask(request(2), now)) == Fate::Answer { Outcome::Unknown, Reason::AnswerNotKept });
+    CHECK(rejection_of(ledger.check_or_claim(request(2), now))
+        == Fate::Rejection { Outcome::Unknown, Reason::AnswerNotKept });
 }
 
 TEST_CASE("a settlement by anyone but the holder changes nothing")
 {
     auto ledger = ledger_with_history(1);
-    auto const claim = claim_of(ledger.ask(request(), now));
+    auto const claim = claim_of(ledger.check_or_claim(request(), now));
     CHECK(ledger.apply(Offset { 3 }, claim, now).empty());
     Fate::Settled const strange { claim.key, { Fate::Incarnation { 9 }, 1 }, Fate::Result::NotRun, 0, "", "", false };
     CHECK(ledger.apply(Offset { 4 }, strange, now).empty());
-    CHECK(std::holds_alternative<Fate::HeldByOther>(ledger.look(claim.key)));
+    CHECK(std::holds_alternative<Fate::HeldByOther>(ledger.current_verdict(claim.key)));
 }
 
 TEST_CASE("a key voided first never runs, and a claim after it has lost")
 {
     auto ledger = ledger_with_history(1);
-    auto const claim = claim_of(ledger.ask(request(), now));
+    auto const claim = claim_of(ledger.check_or_claim(request(), now));
     CHECK(ledger.apply(Offset { 2 }, Fate::Void { claim.key }, now).empty());
     CHECK(ledger.apply(Offset { 3 }, claim, now).empty());
     CHECK_FALSE(ledger.try_send(claim));
-    CHECK(answer_of(ledger.ask(request(), now)) == Fate::Answer { Outcome::NotRun, Reason::KeyVoided });
+    CHECK(
+        rejection_of(ledger.check_or_claim(request(), now)) == Fate::Rejection { Outcome::NotRun, Reason::KeyVoided });
 }
 
 TEST_CASE("keys of the future, of long ago, of unread history and of another request are refused")
 {
     Fate::FateLedger ledger(Fate::Incarnation { 1 }, limits);
     constexpr std::int64_t day = 24LL * 3600 * 1000;
-    CHECK(answer_of(ledger.ask(request(1, now + day), now))
-        == Fate::Answer { Outcome::Undecided, Reason::KeyFromFuture });
-    CHECK(
-        answer_of(ledger.ask(request(1, now - day - 1), now)) == Fate::Answer { Outcome::Unknown, Reason::KeyTooOld });
-    CHECK(
-        answer_of(ledger.ask(request(1, now), now)) == Fate::Answer { Outcome::Undecided, Reason::KeyHistoryNotRead });
-    ledger.set_history_start(now - 2 * limits.allowance);
-    CHECK(answer_of(ledger.ask(request(1, now - 1), now)).reason == Reason::KeyHistoryNotRead);
-    auto const claim = claim_of(ledger.ask(request(1, now), now));
-    CHECK(answer_of(ledger.ask(request(1, now, 6), now)).reason == Reason::KeyReusedForOtherRequest);
+    CHECK(rejection_of(ledger.check_or_claim(request(1, now + day), now))
+        == Fate::Rejection { Outcome::Undecided, Reason::KeyFromFuture });
+    CHECK(rejection_of(ledger.check_or_claim(request(1, now - day - 1), now))
+        == Fate::Rejection { Outcome::Unknown, Reason::KeyTooOld });
+    CHECK(rejection_of(ledger.check_or_claim(request(1, now), now))
+        == Fate::Rejection { Outcome::Undecided, Reason::KeyHistoryNotRead });
+    ledger.set_history_start(now - 2 * limits.max_clock_skew);
+    CHECK(rejection_of(ledger.check_or_claim(request(1, now - 1), now)).reason == Reason::KeyHistoryNotRead);
+    auto const claim = claim_of(ledger.check_or_claim(request(1, now), now));
+    CHECK(rejection_of(ledger.check_or_claim(request(1, now, 6), now)).reason == Reason::KeyReusedForOtherRequest);
     CHECK(ledger.apply(Offset { 1 }, claim, now).empty());
-    CHECK(answer_of(ledger.ask(request(1, now, 6), now)).reason == Reason::KeyReusedForOtherRequest);
+    CHECK(rejection_of(ledger.check_or_claim(request(1, now, 6), now)).reason == Reason::KeyReusedForOtherRequest);
 }
 
 TEST_CASE("an older stretch of the log read later still decides")
@@ -146,28 +148,28 @@
     CHECK(ledger.apply(Offset { 20 }, newer, now).empty());
     CHECK(ledger.apply(Offset { 30 }, settled, now).empty());
     CHECK(ledger.apply(Offset { 10 }, older, now).empty());
-    CHECK(std::holds_alternative<Fate::Replay>(ledger.look(older.key)));
+    CHECK(std::holds_alternative<Fate::Replay>(ledger.current_verdict(older.key)));
 }
 
 TEST_CASE("old keys are forgotten and then refused as too old, never claimed anew")
 {
     auto ledger = ledger_with_history(1);
-    auto const claim = claim_of(ledger.ask(request(), now));
+    auto const claim = claim_of(ledger.check_or_claim(request(), now));
     CHECK(ledger.apply(Offset { 1 }, claim, now).empty());
-    auto const later = now + limits.window + 2 * limits.allowance + 1;
-    ledger.forget_old(later);
+    auto const later = now + limits.max_key_age + 2 * limits.max_clock_skew + 1;
+    ledger.remove_expired(later);
     CHECK(ledger.size() == 0);
-    CHECK(answer_of(ledger.ask(request(), later)).reason == Reason::KeyTooOld);
+    CHECK(rejection_of(ledger.check_or_claim(request(), later)).reason == Reason::KeyTooOld);
 }
 
 TEST_CASE("kept answers stay inside their bound")
 {
     auto bounded = limits;
-    bounded.most_kept_bytes = 25;
+    bounded.max_kept_bytes = 25;
     Fate::FateLedger ledger(Fate::Incarnation { 1 }, bounded);
     ledger.set_history_start(0);
     for (std::uint64_t key = 1; key <= 5; ++key) {
-        auto const claim = claim_of(ledger.ask(request(key), now));
+        auto const claim = claim_of(ledger.check_or_claim(request(key), now));
         CHECK(ledger.apply(Offset { 2 * key }, claim, now).empty());
         CHECK(ledger
                   .apply(Offset { 2 * key + 1 },
@@ -176,8 +178,8 @@
                       now)
                   .empty());
     }
-    CHECK(answer_of(ledger.ask(request(1), now)).reason == Reason::AnswerNotKept);
-    CHECK(std::holds_alternative<Fate::Replay>(ledger.ask(request(5), now)));
+    CHECK(rejection_of(ledger.check_or_claim(request(1), now)).reason == Reason::AnswerNotKept);
+    CHECK(std::holds_alternative<Fate::Replay>(ledger.check_or_claim(request(5), now)));
 }
 
 TEST_CASE("over random histories of boxes, delays and restarts a key is sent at most once and not-run is true")
@@ -192,12 +194,12 @@
         std::vector<Fate::Record> delayed;
         std::vector<std::pair<std::size_t, Fate::Claim>> waiting;
         std::map<Fate::Key, int> sent;
-        std::map<Fate::Key, bool> told_not_run;
+        std::map<Fate::Key, bool> reported_not_run;
         for (int step = 0; step < 200; ++step) {
             auto const box = random(3);
             switch (random(7)) {
             case 0: {
-                auto const verdict = boxes[box].ask(request(random(3)), now);
+                auto const verdict = boxes[box].check_or_claim(request(random(3)), now);
                 if (auto const* must = std::get_if<Fate::MustClaim>(&verdict)) {
                     waiting.emplace_back(box, must->claim);
                     (random(2) == 0 ? log : delayed).push_back(must->claim);
@@ -239,14 +241,14 @@
                 }
             }
             for (std::uint64_t key = 0; key < 3; ++key) {
-                auto const verdict = boxes[box].look({ 0, key });
-                if (auto const* answer = std::get_if<Fate::Answer>(&verdict))
-                    told_not_run[{ 0, key }] |= answer->outcome == Outcome::NotRun;
+                auto const verdict = boxes[box].current_verdict({ 0, key });
+                if (auto const* answer = std::get_if<Fate::Rejection>(&verdict))
+                    reported_not_run[{ 0, key }] |= answer->outcome == Outcome::NotRun;
             }
         }
         for (auto const& [key, times] : sent) {
             REQUIRE(times <= 1);
-            REQUIRE_FALSE((times > 0 && told_not_run[key]));
+            REQUIRE_FALSE((times > 0 && reported_not_run[key]));
         }
     }
 }
--- a/Tests/LibGateway/TestSuspension.cpp
+++ b/Tests/LibGateway/TestSuspension.cpp
@@ -1,7 +1,7 @@
 #include <TestMain.h>
 
 #include "ScriptedExchange.h"
-#include <LibCore/SuspensionMeter.h>
+#include <LibCore/SuspensionDetector.h>
 
 /// What users would see: a key that was taken away is served, or a route as it was, by a box that was suspended for
 /// seconds.
@@ -40,22 +40,22 @@
 TEST_CASE("the clock of ages counts the time that the box was suspended, and the other one doesn't")
 {
     auto const now = Core::monotonic_now();
-    auto const awake = Core::awake_now();
-    Core::SuspensionMeter meter(now, awake);
-    Core::suspend_for_tests(seconds(8));
+    auto const awake = Core::now_without_suspension();
+    Core::SuspensionDetector meter(now, awake);
+    Core::simulate_suspension(seconds(8));
     CHECK(Core::monotonic_now() - now >= seconds(8));
-    CHECK(Core::awake_now() - awake < seconds(8));
-    auto const length = meter.observe(Core::monotonic_now(), Core::awake_now());
+    CHECK(Core::now_without_suspension() - awake < seconds(8));
+    auto const length = meter.observe(Core::monotonic_now(), Core::now_without_suspension());
     REQUIRE(length);
     CHECK(*length > seconds(7));
     CHECK(*length < seconds(9));
-    CHECK_FALSE(meter.observe(Core::monotonic_now(), Core::awake_now()));
+    CHECK_FALSE(meter.observe(Core::monotonic_now(), Core::now_without_suspension()));
 }
 
 TEST_CASE("a box that stands still between two readings of its clocks finds the next suspension all the same")
 {
     auto const start = Core::Instant { seconds(100) };
-    Core::SuspensionMeter meter(start, start);
+    Core::SuspensionDetector meter(start, start);
     // Stopped for 5 s after the first reading, then after the second: nothing was suspended.
     CHECK_FALSE(meter.observe(start, start + seconds(5)));
     CHECK(meter.observe(start + seconds(5), start + seconds(5)));
@@ -85,7 +85,7 @@
     {
         length = seconds(60);
     }
-    Core::suspend_for_tests(length);
+    Core::simulate_suspension(length);
     request.start("body");
     if (length < bounds.apply_within) {
         request.endpoints[request.arrival()]->answer(whole_answer);
@@ -105,7 +105,7 @@
     request.use_accounts(settings());
     connect_wake(request);
     // Inside the bound for taken-away keys, so only the waking holds it back.
-    Core::suspend_for_tests(seconds(3));
+    Core::simulate_suspension(seconds(3));
     request.state.notice_suspension();
     CHECK(request.state.router.trust(Core::monotonic_now()) == Routing::ConfigurationTrust::Expired);
     request.state.router.confirm_configuration(Core::monotonic_now());
@@ -122,7 +122,7 @@
     request.start("body");
     static_cast<void>(request.arrival());
     // The client waits for 30 s.
-    Core::suspend_for_tests(seconds(31));
+    Core::simulate_suspension(seconds(31));
     request.state.notice_suspension();
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 504 "));
@@ -135,7 +135,7 @@
     connect_wake(request);
     request.start("body");
     request.endpoints[request.arrival()]->answer(whole_answer);
-    Core::suspend_for_tests(seconds(8));
+    Core::simulate_suspension(seconds(8));
     request.state.notice_suspension();
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
--- a/Tests/LibLog/TestBoundedSink.cpp
+++ b/Tests/LibLog/TestBoundedSink.cpp
@@ -76,9 +76,9 @@
 {
     PipedLogger const piped;
     // The bound holds for each second, and the loop may cross one.
-    for (unsigned index = 0; index < 4 * Log::BoundedSink::most_lines_per_second; ++index)
+    for (unsigned index = 0; index < 4 * Log::BoundedSink::max_lines_per_second; ++index)
         piped.logger->info("i");
-    CHECK(piped.sink->dropped_lines() >= Log::BoundedSink::most_lines_per_second);
+    CHECK(piped.sink->dropped_lines() >= Log::BoundedSink::max_lines_per_second);
     auto const before = piped.sink->dropped_lines();
     piped.logger->warn("w");
     CHECK(piped.sink->dropped_lines() == before);
--- a/Tests/LibLog/TestLogLine.cpp
+++ b/Tests/LibLog/TestLogLine.cpp
@@ -31,9 +31,9 @@
 
 TEST_CASE("events are told in words, others are passed over")
 {
-    auto const told = Log::tell_event(Log::parse_line(
+    auto const description = Log::describe_event(Log::parse_line(
         "event=request_ended id=1 status=503 reason=endpoint-full attempts=2 client_left=no took_ms=12.5"));
-    CHECK(told == "the client was told 503 after 12.5 ms and 2 attempts, because: endpoint-full");
-    CHECK(Log::tell_event(Log::parse_line("event=gateway_started")).empty());
-    CHECK_FALSE(Log::tell_event(Log::parse_line("event=request_placed")).empty());
+    CHECK(description == "the client was told 503 after 12.5 ms and 2 attempts, because: endpoint-full");
+    CHECK(Log::describe_event(Log::parse_line("event=gateway_started")).empty());
+    CHECK_FALSE(Log::describe_event(Log::parse_line("event=request_placed")).empty());
 }
--- a/Tests/LibSettings/TestSettingsReader.cpp
+++ b/Tests/LibSettings/TestSettingsReader.cpp
@@ -58,9 +58,9 @@
     CHECK_FALSE(lookup.late_answer_useful);
     CHECK(settings->document.classes[1].target == std::chrono::milliseconds(500));
     auto const resolved = settings->classes.resolve(*settings->classes.find_leaf("sighting"));
-    CHECK(resolved.at("patience").set_at == "classes");
-    CHECK(resolved.at("tier").set_at == "classes/field");
-    CHECK(resolved.at("target").set_at == "classes/field/sighting");
+    CHECK(resolved.at("patience").source_path == "classes");
+    CHECK(resolved.at("tier").source_path == "classes/field");
+    CHECK(resolved.at("target").source_path == "classes/field/sighting");
     CHECK(resolved.at("target").value.line == 9);
 }
 
@@ -85,13 +85,13 @@
     CHECK(is_refused_at("classes: ~\naccounts: 5\nendpoints: []\n", "accounts", "map"));
     CHECK(is_refused_at("? {a: b}\n: c\n", "", ""));
     CHECK(is_refused_at("tiers: [", "", ""));
-    CHECK(is_refused_at(std::string(Settings::largest_document_bytes + 1, ' '), "", "larger"));
+    CHECK(is_refused_at(std::string(Settings::max_document_bytes + 1, ' '), "", "larger"));
 }
 
 TEST_CASE("aliases and nesting are bounded")
 {
     std::string aliases = "a: &a [x]\nb: [";
-    for (std::size_t count = 0; count <= Settings::most_aliases; ++count)
+    for (std::size_t count = 0; count <= Settings::max_aliases; ++count)
         aliases += "*a, ";
     CHECK(is_refused_at(aliases + "]\n", "", "too many aliases"));
     std::string nested;
--- a/Tests/LibTraffic/TestTrafficEngine.cpp
+++ b/Tests/LibTraffic/TestTrafficEngine.cpp
@@ -25,7 +25,7 @@
 {
     int offered = 0;
     int completed = 0;
-    for (auto const& [id, request] : pool.seen) {
+    for (auto const& [id, request] : pool.requests) {
         if (request.facts.account != Core::AccountId { account })
             continue;
         ++offered;
@@ -42,7 +42,7 @@
              PolicyName::LeastOutstandingStrict }) {
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             auto const pool = random_history(policy, seed);
-            for (auto const& [id, request] : pool.seen)
+            for (auto const& [id, request] : pool.requests)
                 REQUIRE(request.ends == 1);
             CHECK(pool.engine.is_idle());
         }
@@ -55,7 +55,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         auto const pool = random_history(PolicyName::Cleatbeam, seed);
         for (auto const id : pool.preempted) {
-            auto const& facts = pool.seen.at(id).facts;
+            auto const& facts = pool.requests.at(id).facts;
             auto const settings = VirtualPool::policy_for({}).classes.at(facts.request_class);
             CHECK(settings.tier.value() > 0);
             CHECK(settings.repeatable);
@@ -87,7 +87,7 @@
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         auto const pool = random_history(PolicyName::Cleatbeam, seed);
-        for (auto const& [id, request] : pool.seen) {
+        for (auto const& [id, request] : pool.requests) {
             if (request.facts.request_class == Core::ClassId { 1 }
                 || request.facts.request_class == Core::ClassId { 4 })
                 REQUIRE(request.dispatches <= 1);
@@ -105,7 +105,7 @@
             pool.submit(3, 9);
         pool.run_for(0.01);
     }
-    auto const& background = std::ranges::find_if(pool.seen, [](auto const& entry) {
+    auto const& background = std::ranges::find_if(pool.requests, [](auto const& entry) {
         return entry.second.facts.request_class == Core::ClassId { 3 };
     })->second;
     REQUIRE(background.concluded.has_value());
@@ -138,13 +138,13 @@
     for (int request = 0; request < 6; ++request)
         pool.submit(1, 1);
     pool.submit(1, 0);
-    auto const first = pool.seen.rbegin()->first;
+    auto const first = pool.requests.rbegin()->first;
     for (int request = 0; request < 6; ++request)
         pool.submit(1, 2);
     pool.run_for(60);
     int ended_before = 0;
-    for (auto const& [id, request] : pool.seen)
-        ended_before += id > first && request.ended_at < pool.seen.at(first).ended_at ? 1 : 0;
+    for (auto const& [id, request] : pool.requests)
+        ended_before += id > first && request.ended_at < pool.requests.at(first).ended_at ? 1 : 0;
     CHECK(ended_before < 4);
 }
 
@@ -155,11 +155,11 @@
         pool.submit(1, 0);
     pool.run_for(0.6);
     pool.submit(1, 0);
-    auto const last = pool.seen.rbegin()->first;
+    auto const last = pool.requests.rbegin()->first;
     pool.run_for(0.5);
-    REQUIRE(pool.seen.at(last).dispatches == 1);
+    REQUIRE(pool.requests.at(last).dispatches == 1);
     auto const waiting
-        = std::ranges::count_if(pool.seen, [](auto const& entry) { return entry.second.dispatches == 0; });
+        = std::ranges::count_if(pool.requests, [](auto const& entry) { return entry.second.dispatches == 0; });
     CHECK(waiting > 10);
 }
 
@@ -171,14 +171,14 @@
     auto const queued = [&] { return pool.engine.status().queued; };
     while (queued() < 100)
         pool.submit(1, 0);
-    while (queued() < Traffic::longest_queue)
+    while (queued() < Traffic::max_queue_length)
         pool.submit(3, 1);
     pool.submit(1, 1);
-    auto const& urgent = pool.seen.rbegin()->second;
+    auto const& urgent = pool.requests.rbegin()->second;
     CHECK_FALSE(urgent.refused.has_value());
-    CHECK(queued() == Traffic::longest_queue);
+    CHECK(queued() == Traffic::max_queue_length);
     int shed = 0;
-    for (auto const& [id, request] : pool.seen) {
+    for (auto const& [id, request] : pool.requests) {
         if (!request.refused)
             continue;
         ++shed;
@@ -193,18 +193,18 @@
     VirtualPool pool({ 1, 2, PolicyName::Cleatbeam, 0, 3 });
     for (int request = 0; request < 400; ++request)
         pool.submit(1, 0);
-    auto const& last = pool.seen.rbegin()->second;
+    auto const& last = pool.requests.rbegin()->second;
     REQUIRE(last.refused.has_value());
     CHECK(last.refused->reason == Core::Reason::BacklogTooLong);
     CHECK(last.refused->retry_after > std::chrono::seconds(2));
-    CHECK(last.refused->figures.queued > 10);
+    CHECK(last.refused->inputs.queued > 10);
 }
 
 TEST_CASE("an endpoint that reports that it leaves gets nothing new")
 {
     VirtualPool pool({ 2, 4, PolicyName::Cleatbeam, 0, 3 });
     Traffic::LoadReport report { 0, 0, 4, pool.now, true };
-    CHECK(pool.engine.take_report(Core::EndpointId { 0 }, report, pool.now).empty());
+    CHECK(pool.engine.apply_report(Core::EndpointId { 0 }, report, pool.now).empty());
     for (int request = 0; request < 50; ++request) {
         pool.submit(2, 0);
         pool.run_for(0.1);
@@ -224,7 +224,7 @@
     }
     pool.run_for(30);
     int dispatches = 0;
-    for (auto const& [id, request] : pool.seen)
+    for (auto const& [id, request] : pool.requests)
         dispatches += request.dispatches;
     CHECK(dispatches > requests);
     CHECK(dispatches <= requests * 1.1 + 10);
--- a/Tests/LibTraffic/VirtualPool.h
+++ b/Tests/LibTraffic/VirtualPool.h
@@ -15,7 +15,7 @@
         double failure_share { 0 };
         std::uint64_t seed { 1 };
     };
-    struct Seen {
+    struct RequestRecord {
         Traffic::RequestFacts facts;
         int dispatches { 0 };
         int preemptions { 0 };
@@ -32,7 +32,7 @@
     {
     }
 
-    static Settings::ClassSettings request_class(std::uint32_t tier, double target_seconds, double patience_seconds,
+    static Settings::ClassSettings make_class(std::uint32_t tier, double target_seconds, double patience_seconds,
         bool repeatable, double floor, bool late_useful)
     {
         Settings::ClassSettings settings;
@@ -50,11 +50,11 @@
     static Traffic::PoolPolicy policy_for(Options const& options)
     {
         Traffic::PoolPolicy policy;
-        policy.classes.emplace(Core::ClassId { 0 }, request_class(0, 0.5, 2, true, 0, false));
-        policy.classes.emplace(Core::ClassId { 1 }, request_class(0, 0.5, 4, false, 0, true));
-        policy.classes.emplace(Core::ClassId { 2 }, request_class(1, 2, 10, true, 0, true));
-        policy.classes.emplace(Core::ClassId { 3 }, request_class(2, 20, 60, true, 0.05, true));
-        policy.classes.emplace(Core::ClassId { 4 }, request_class(1, 2, 10, false, 0, true));
+        policy.classes.emplace(Core::ClassId { 0 }, make_class(0, 0.5, 2, true, 0, false));
+        policy.classes.emplace(Core::ClassId { 1 }, make_class(0, 0.5, 4, false, 0, true));
+        policy.classes.emplace(Core::ClassId { 2 }, make_class(1, 2, 10, true, 0, true));
+        policy.classes.emplace(Core::ClassId { 3 }, make_class(2, 20, 60, true, 0.05, true));
+        policy.classes.emplace(Core::ClassId { 4 }, make_class(1, 2, 10, false, 0, true));
         for (int index = 0; index < options.endpoints; ++index) {
             Settings::EndpointSettings endpoint;
             endpoint.slots = options.slots;
@@ -69,8 +69,8 @@
         Core::RequestId const id { ++this->last_id };
         Traffic::RequestFacts const facts { id, Core::ClassId { request_class }, Core::AccountId { account }, this->now,
             0, streaming };
-        this->seen[id].facts = facts;
-        this->take(this->engine.submit(facts, this->now));
+        this->requests[id].facts = facts;
+        this->apply_actions(this->engine.submit(facts, this->now));
     }
 
     /// Lets time pass in ticks, with the ends of attempts that fall due.
@@ -79,9 +79,9 @@
         auto const until = this->now + Core::from_seconds(seconds);
         while (this->now < until) {
             this->now += std::chrono::milliseconds(5);
-            while (!this->due.empty() && this->due.top().at <= this->now)
+            while (!this->scheduled_ends.empty() && this->scheduled_ends.top().at <= this->now)
                 this->end_next();
-            this->take(this->engine.tick(this->now));
+            this->apply_actions(this->engine.tick(this->now));
         }
     }
 
@@ -90,29 +90,29 @@
     pcg32 random;
     Traffic::TrafficEngine engine;
     Traffic::Instant now { std::chrono::seconds(100) };
-    std::map<Core::RequestId, Seen> seen;
+    std::map<Core::RequestId, RequestRecord> requests;
     std::map<Core::EndpointId, int> placed_at;
 
 private:
-    struct Due {
+    struct ScheduledEnd {
         Traffic::Instant at;
         Core::RequestId request;
         int dispatch { 0 };
-        bool operator<(Due const& other) const { return this->at > other.at; }
+        bool operator<(ScheduledEnd const& other) const { return this->at > other.at; }
     };
 
     void end_next()
     {
-        auto const next = this->due.top();
-        this->due.pop();
-        if (this->seen[next.request].dispatches != next.dispatch || this->seen[next.request].ends > 0)
+        auto const next = this->scheduled_ends.top();
+        this->scheduled_ends.pop();
+        if (this->requests[next.request].dispatches != next.dispatch || this->requests[next.request].ends > 0)
             return;
         auto const fails = this->random() < this->options.failure_share * 4294967295.0;
-        this->take(this->engine.finish(
+        this->apply_actions(this->engine.finish(
             next.request, { fails ? Traffic::AttemptResult::Failed : Traffic::AttemptResult::Completed }, this->now));
     }
 
-    void take(Traffic::Actions const& actions)
+    void apply_actions(Traffic::Actions const& actions)
     {
         for (auto const& action : actions)
             std::visit([this](auto const& chosen) { this->carry_out(chosen); }, action);
@@ -121,36 +121,36 @@
     void carry_out(Traffic::Retry const&) { }
     void carry_out(Traffic::Dispatch const& action)
     {
-        auto& request = this->seen[action.request];
+        auto& request = this->requests[action.request];
         ++request.dispatches;
         ++this->placed_at[action.endpoint];
         auto const uniform = (this->random() + 1.0) / 4294967296.0;
         auto const scale = request.facts.request_class.value() == 3 ? 4 : 1;
-        this->due.push({ this->now + Core::from_seconds(-std::log(uniform) * this->mean_seconds * scale),
+        this->scheduled_ends.push({ this->now + Core::from_seconds(-std::log(uniform) * this->mean_seconds * scale),
             action.request, request.dispatches });
     }
     void carry_out(Traffic::Preempt const& action)
     {
-        ++this->seen[action.request].preemptions;
+        ++this->requests[action.request].preemptions;
         this->preempted.push_back(action.request);
         // The shell reports the stopped attempt a moment later; here at the next tick's time.
-        this->due.push({ this->now, action.request, -1 });
-        this->take(this->engine.finish(action.request, { Traffic::AttemptResult::Preempted }, this->now));
+        this->scheduled_ends.push({ this->now, action.request, -1 });
+        this->apply_actions(this->engine.finish(action.request, { Traffic::AttemptResult::Preempted }, this->now));
     }
     void carry_out(Traffic::Refuse const& action)
     {
-        ++this->seen[action.request].ends;
-        this->seen[action.request].refused = action;
-        this->seen[action.request].ended_at = this->now;
+        ++this->requests[action.request].ends;
+        this->requests[action.request].refused = action;
+        this->requests[action.request].ended_at = this->now;
     }
     void carry_out(Traffic::Conclude const& action)
     {
-        ++this->seen[action.request].ends;
-        this->seen[action.request].concluded = action;
-        this->seen[action.request].ended_at = this->now;
+        ++this->requests[action.request].ends;
+        this->requests[action.request].concluded = action;
+        this->requests[action.request].ended_at = this->now;
     }
 
-    std::priority_queue<Due> due;
+    std::priority_queue<ScheduledEnd> scheduled_ends;
     std::uint64_t last_id { 0 };
 
 public:
