--- a/Libraries/LibCore/Ids.h
+++ b/Libraries/LibCore/Ids.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/StrongId.h>
 
-/// Ids that more than one library uses. Indices point into the settings they were resolved from.
+/// Ids shared by several libraries. Ids that are indices refer to the settings that they were resolved from.
 namespace Core {
 
 using RequestId = StrongId<struct RequestTag>;
--- a/Libraries/LibCore/LastReason.h
+++ b/Libraries/LibCore/LastReason.h
@@ -4,7 +4,7 @@
 
 namespace Core {
 
-/// Filled in by a function that returns an empty std::optional: why it did.
+/// Error text that a function sets when it returns an empty std::optional.
 struct LastReason {
     std::string text;
 };
--- a/Libraries/LibCore/Reason.h
+++ b/Libraries/LibCore/Reason.h
@@ -6,7 +6,7 @@
 
 namespace Core {
 
-/// What a caller is told of its request. See docs/OUTCOMES.md for the exact meaning of each.
+/// Outcome of a request as reported to the client. docs/OUTCOMES.md defines each value.
 enum class Outcome {
     Completed,
     NotRun,
@@ -14,10 +14,10 @@
     Unknown,
 };
 
-/// Why a decision fell as it did. Closed: each has a counter, and each refusal and retry names one.
+/// Why a decision was made. A closed set: every reason has a counter, and every refusal and retry carries one.
 enum class Reason {
     None,
-    // Decisions that let work go on.
+    // Decisions that let a request proceed.
     Admitted,
     Queued,
     PlacedInTierOrder,
@@ -67,7 +67,7 @@
     CredentialMissing,
     CredentialWrong,
     SettingsNotLoaded,
-    // The platform front: what configuration and endpoints say of a request.
+    // The platform gateway: routing, configuration and endpoint state.
     RouteUnknown,
     KeyUnknown,
     ConfigurationMissing,
@@ -93,7 +93,7 @@
 
 inline constexpr std::size_t reason_count = static_cast<std::size_t>(Reason::Count);
 
-/// The kebab-case name used in answers, counters, logs and decision records.
+/// The kebab-case name used in responses, counters, logs and decision records.
 [[nodiscard]] std::string_view to_string(Reason reason);
 [[nodiscard]] std::string_view to_string(Outcome outcome);
 
--- a/Libraries/LibCore/StrongId.h
+++ b/Libraries/LibCore/StrongId.h
@@ -6,7 +6,7 @@
 
 namespace Core {
 
-/// A number that names one kind of thing. Two ids with different tags do not mix.
+/// A typed integer id. Ids with different tags do not convert to each other.
 template <typename Tag, typename Number = std::uint64_t> class StrongId {
 public:
     constexpr StrongId() = default;
--- a/Libraries/LibCore/Time.cpp
+++ b/Libraries/LibCore/Time.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Suspensions that tests made up.
+/// Total length of suspensions simulated by tests.
 std::atomic<Duration::rep> simulated_suspension { 0 };
 
 Instant read_clock(clockid_t clock)
@@ -52,7 +52,7 @@
     double microseconds;
 };
 
-// NOTE: "ms" stands before "s" and "m", so that the longest suffix is tried first.
+// NOTE: "ms" comes before "s" and "m", so that the longest suffix is tried first.
 constexpr std::array<Unit, 4> units { { { "ms", 1e3 }, { "s", 1e6 }, { "m", 6e7 }, { "h", 3.6e9 } } };
 constexpr double max_duration_microseconds = 366.0 * 24 * 3.6e9;
 
--- a/Libraries/LibCore/Time.h
+++ b/Libraries/LibCore/Time.h
@@ -7,7 +7,7 @@
 
 namespace Core {
 
-/// Time is passed into the decision libraries, so they run the same in virtual time and in a process.
+/// Clock type of the decision libraries. They get the current time as an argument, so tests can use virtual time.
 struct VirtualClock {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -19,19 +19,19 @@
 using Duration = VirtualClock::duration;
 using Instant = VirtualClock::time_point;
 
-/// Time since the box booted, with the time that it was suspended. Every age and deadline runs on it: a box that was
-/// suspended for 8 s must not take what it knew before for fresh. For the shell only.
+/// Time since the box booted, including suspended time. Every age and deadline uses this clock: after a suspension of
+/// 8 s, cached data must count as 8 s older. Decision libraries don't call this function.
 [[nodiscard]] Instant monotonic_now();
-/// The same without the time that the box was suspended, as timers run. Only to find out that it was.
+/// Time since the box booted, excluding suspended time, as timers count it. Used only to detect suspensions.
 [[nodiscard]] Instant now_without_suspension();
-/// Lets monotonic_now() run ahead of now_without_suspension() by so much more, as after a suspension. For tests.
+/// Advances monotonic_now(), but not now_without_suspension(), by `length`, as a suspension does. For tests.
 void simulate_suspension(Duration length);
 
-/// Milliseconds since 1970 by this box's wall clock, which may step either way. For idempotency keys, and for records
-/// that outlive the process.
+/// Milliseconds since 1970 by this box's wall clock, which may step forward or back. For idempotency keys and for
+/// records that outlive the process.
 [[nodiscard]] std::int64_t wall_clock_milliseconds();
 
-/// Reads "250ms", "1.5s", "10m" or "2h"; nothing for any other text, negative or not finite.
+/// Parses "250ms", "1.5s", "10m" or "2h". Returns nothing for negative or non-finite numbers and any other text.
 [[nodiscard]] std::optional<Duration> parse_duration(std::string_view text);
 
 [[nodiscard]] double to_milliseconds(Duration duration);
--- a/Libraries/LibCore/Verify.h
+++ b/Libraries/LibCore/Verify.h
@@ -2,7 +2,7 @@
 
 #include <cstdlib>
 
-/// Stops the process when an invariant of our own code is broken. Never used for input from outside.
+/// Aborts the process when an internal invariant is violated. Never used to validate external input.
 #define VERIFY(expression)                                                                                             \
     do {                                                                                                               \
         if (!(expression)) {                                                                                           \
--- a/Libraries/LibLog/BoundedSink.cpp
+++ b/Libraries/LibLog/BoundedSink.cpp
@@ -23,7 +23,7 @@
 
 bool BoundedSink::accepts_line(spdlog::details::log_msg const& message, std::size_t size)
 {
-    // NOTE: The time of day may jump either way; any jump begins a new second.
+    // NOTE: The wall clock may step forward or back; any step starts a new second.
     auto const since = message.time - this->second_started;
     if (since < std::chrono::seconds(0) || since >= std::chrono::seconds(1)) {
         this->second_started = message.time;
@@ -31,7 +31,7 @@
     }
     if (this->buffer.size() + size > max_buffered_bytes)
         return false;
-    // NOTE: Lines above information level are rare and tell of trouble, so the rate does not bind them.
+    // NOTE: Warnings and errors are rare and report problems, so the rate limit does not apply to them.
     if (message.level <= spdlog::level::info && this->lines_this_second >= max_lines_per_second)
         return false;
     ++this->lines_this_second;
@@ -53,7 +53,7 @@
         pollfd ready { this->descriptor, POLLOUT, 0 };
         if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0)
             return;
-        // NOTE: A pipe that is ready takes this many bytes without blocking.
+        // NOTE: Writing up to PIPE_BUF bytes to a writable pipe does not block.
         auto const size = std::min<std::size_t>(this->buffer.size(), PIPE_BUF);
         auto const written = ::write(this->descriptor, this->buffer.data(), size);
         if (written <= 0)
--- a/Libraries/LibLog/BoundedSink.h
+++ b/Libraries/LibLog/BoundedSink.h
@@ -9,8 +9,8 @@
 
 namespace Log {
 
-/// Writes lines to a file descriptor without ever blocking. Lines wait in a bounded buffer while the reader is slow,
-/// and no more than a fixed number is taken in a second; what does not fit is counted, and the count is logged.
+/// Writes lines to a file descriptor without ever blocking. Lines are buffered, up to a limit, while the reader is
+/// slow, and the number of lines per second is limited. Dropped lines are counted and the count is logged.
 class BoundedSink final : public spdlog::sinks::base_sink<std::mutex> {
 public:
     explicit BoundedSink(int descriptor)
@@ -20,9 +20,9 @@
 
     [[nodiscard]] std::uint64_t dropped_lines() const { return this->dropped; }
 
-    /// Lines of one box in a second: six lines for each request at ten times the first sites' load.
+    /// Lines per second on one box: six per request, at 100 requests per second (ten times the expected load).
     static constexpr unsigned max_lines_per_second = 600;
-    /// Waits for a slow reader for about half a second at that rate.
+    /// About half a second of lines at the maximum rate.
     static constexpr std::size_t max_buffered_bytes = 64 * 1024;
 
 protected:
--- a/Libraries/LibLog/EventLog.h
+++ b/Libraries/LibLog/EventLog.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <string_view>
 
-/// Structured logs: one line of key=value pairs for each event.
+/// Structured logging.
 namespace Log {
 
-/// One log line of key=value pairs for one event.
+/// Builds the log line of one event from key=value pairs.
 class EventLine {
 public:
     explicit EventLine(std::string_view event)
@@ -17,7 +17,7 @@
     {
     }
 
-    /// Text is quoted and escaped where it would break the line apart.
+    /// Quotes and escapes text that would otherwise break the key=value format.
     EventLine& with(std::string_view key, std::string_view value);
     EventLine& with(std::string_view key, std::integral auto value)
     {
@@ -34,9 +34,9 @@
     std::string text;
 };
 
-/// Sets the form of all log lines: time, level, box, then the event's own pairs; to standard error.
+/// Logs to standard error; each line has the time, level and box, then the pairs of the event.
 void set_up_logging(std::string const& box_name);
-/// The same form to standard output, through a bounded buffer that never blocks; see BoundedSink.
+/// Logs lines of the same format to standard output through a BoundedSink, which never blocks.
 void set_up_bounded_logging(std::string const& box_name);
 
 }
--- a/Libraries/LibLog/LogLine.cpp
+++ b/Libraries/LibLog/LogLine.cpp
@@ -16,7 +16,7 @@
     return found == pairs.end() ? std::string("?") : found->second;
 }
 
-/// Reads a quoted value from behind its opening quote; `position` ends behind the closing one.
+/// Reads a quoted value. `position` starts after the opening quote and ends after the closing one.
 std::string quoted_value(std::string_view line, std::size_t& position)
 {
     std::string value;
@@ -54,7 +54,7 @@
     auto const now = value_of(pairs, "endpoint_now");
     auto const finding = now == "refuses" ? "its process has ended"
         : now == "answers"                ? "it takes connections"
-                                          : "no word came";
+                                          : "no reply came";
     return fmt::format("a new connection to {} after the broken one: {} (the request's fingerprint is {})",
         value_of(pairs, "endpoint"), finding, value_of(pairs, "fingerprint"));
 }
--- a/Libraries/LibLog/LogLine.h
+++ b/Libraries/LibLog/LogLine.h
@@ -6,10 +6,10 @@
 
 namespace Log {
 
-/// The key=value pairs of a line that EventLine wrote. Words without an equals sign are passed over.
+/// Parses the key=value pairs of a line written by EventLine. Words without an equals sign are skipped.
 [[nodiscard]] std::map<std::string, std::string> parse_line(std::string_view line);
 
-/// One event of a request's story in words, from the pairs of its line; empty for an event that is not known.
+/// Describes a request's log event in plain words, given the pairs of its line. Empty for any other event.
 [[nodiscard]] std::string describe_event(std::map<std::string, std::string> const& pairs);
 
 }
--- a/Tests/LibCore/TestTime.cpp
+++ b/Tests/LibCore/TestTime.cpp
@@ -4,7 +4,7 @@
 #include <LibCore/Time.h>
 #include <set>
 
-TEST_CASE("durations are read with their unit and nothing else")
+TEST_CASE("a duration needs a number with a unit and nothing else")
 {
     using namespace std::chrono_literals;
     CHECK(Core::parse_duration("250ms") == Core::Duration { 250ms });
@@ -15,7 +15,7 @@
         CHECK_FALSE(Core::parse_duration(bad).has_value());
 }
 
-TEST_CASE("each reason has a name of its own")
+TEST_CASE("every reason has a unique name")
 {
     std::set<std::string_view> names;
     for (std::size_t index = 0; index < Core::reason_count; ++index)
--- a/Tests/LibLog/TestBoundedSink.cpp
+++ b/Tests/LibLog/TestBoundedSink.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A logger that writes into a pipe which nobody reads until the test does.
+/// A logger that writes to a pipe that is read only on request.
 struct PipedLogger {
     PipedLogger()
     {
@@ -45,7 +45,7 @@
 
 }
 
-TEST_CASE("lines come whole and in order")
+TEST_CASE("lines are written whole and in order")
 {
     PipedLogger const piped;
     piped.logger->info("event=a n=1");
@@ -54,11 +54,11 @@
     CHECK(piped.read_all() == "info event=a n=1\nwarning event=b n=2\n");
 }
 
-TEST_CASE("a reader that stands still never blocks the writer, and learns what it missed")
+TEST_CASE("a stalled reader never blocks the writer, and dropped lines are reported")
 {
     PipedLogger const piped;
     std::string const line(1000, 'x');
-    // More than the pipe and the buffer hold together; warnings are not bound by the rate.
+    // Exceeds the capacity of the pipe and the buffer; the rate limit does not apply to warnings.
     for (int index = 0; index < 2000; ++index)
         piped.logger->warn(line);
     CHECK(piped.sink->dropped_lines() > 0);
@@ -72,10 +72,10 @@
     CHECK(text.find("event=log_lines_dropped count=") != std::string::npos);
 }
 
-TEST_CASE("lines of information are bounded in number, warnings are not")
+TEST_CASE("the rate limit applies to info lines, not to warnings")
 {
     PipedLogger const piped;
-    // The bound holds for each second, and the loop may cross one.
+    // The limit is per second, and the loop may span more than one second.
     for (unsigned index = 0; index < 4 * Log::BoundedSink::max_lines_per_second; ++index)
         piped.logger->info("i");
     CHECK(piped.sink->dropped_lines() >= Log::BoundedSink::max_lines_per_second);
--- a/Tests/LibLog/TestLogLine.cpp
+++ b/Tests/LibLog/TestLogLine.cpp
@@ -3,7 +3,7 @@
 #include <LibLog/EventLog.h>
 #include <LibLog/LogLine.h>
 
-TEST_CASE("what is written can be read back, whatever the values hold")
+TEST_CASE("a written line parses back to the same values")
 {
     auto const line = Log::EventLine("attempt_ended")
                           .with("id", "9c41")
@@ -20,7 +20,7 @@
     CHECK(pairs.at("box") == "n");
 }
 
-TEST_CASE("lines that nobody wrote so are read without harm")
+TEST_CASE("malformed lines parse without failing")
 {
     CHECK(Log::parse_line("").empty());
     CHECK(Log::parse_line("no pairs here").empty());
@@ -29,7 +29,7 @@
     CHECK(Log::parse_line("\"=\\").size() <= 1);
 }
 
-TEST_CASE("events are told in words, others are passed over")
+TEST_CASE("request events are described, others are ignored")
 {
     auto const description = Log::describe_event(Log::parse_line(
         "event=request_ended id=1 status=503 reason=endpoint-full attempts=2 client_left=no took_ms=12.5"));
