--- a/Benchmarks/BenchDecisionPath.cpp
+++ b/Benchmarks/BenchDecisionPath.cpp
@@ -11,7 +11,7 @@
 
 }
 
-// Counts what the decision path allocates.
+// Counts heap allocations of the decision path.
 void* operator new(std::size_t size)
 {
     ++allocations;
--- a/Benchmarks/DecisionPath.h
+++ b/Benchmarks/DecisionPath.h
@@ -2,7 +2,7 @@
 
 #include <LibTraffic/TrafficEngine.h>
 
-/// A pool of a given size that is always three quarters full, for timing the decision path.
+/// A pool of a given size at three quarters of its capacity, to benchmark the decision path.
 class DecisionPath {
 public:
     DecisionPath(std::uint32_t endpoints, std::uint32_t accounts)
@@ -14,7 +14,7 @@
             this->admit();
     }
 
-    /// One request is admitted, queued or placed; the oldest running one gets its first token and ends.
+    /// Submits one request, and ends the oldest running one after its first token.
     void step()
     {
         this->now += std::chrono::microseconds(50);
@@ -25,7 +25,7 @@
         this->apply_actions(this->engine.finish(oldest, { Traffic::AttemptResult::Completed }, this->now));
     }
 
-    /// What the box does every few milliseconds whatever comes in.
+    /// The periodic work of a box, done every few milliseconds.
     void tick() { this->apply_actions(this->engine.tick(this->now)); }
 
 private:
--- a/Libraries/LibTraffic/Admission.h
+++ b/Libraries/LibTraffic/Admission.h
@@ -4,25 +4,25 @@
 
 namespace Traffic {
 
-/// What an admission policy may look at.
+/// Input of an admission policy.
 struct AdmissionQuery {
     QueuedRequest const& request;
     Settings::ClassSettings const& settings;
     ClassEstimates const& estimates;
     std::size_t queued { 0 };
-    /// Predicted time until the request would be placed.
+    /// Predicted time until the request is placed.
     Duration predicted_wait { 0 };
     Instant now;
 };
 
-/// Lets everything in until the queue is full. Goes with the baselines.
+/// Admits requests until the queue is full. Used with the baseline policies.
 class BoundedAdmission {
 public:
     [[nodiscard]] std::optional<Reason> refusal_reason(AdmissionQuery const& query) const;
 };
 
-/// Refuses at once what could only be answered too late: after the target where a late answer is worth nothing,
-/// after the caller's patience otherwise.
+/// Refuses requests that are predicted to be answered too late: after the target if a late answer is useless, otherwise
+/// after the client's patience.
 class PredictiveAdmission {
 public:
     [[nodiscard]] std::optional<Reason> refusal_reason(AdmissionQuery const& query) const;
@@ -30,7 +30,7 @@
 
 using AdmissionPolicy = std::variant<BoundedAdmission, PredictiveAdmission>;
 
-/// Requests that one pool keeps waiting on one box at the most.
+/// Maximum number of queued requests per pool and box.
 inline constexpr std::size_t max_queue_length = 4096;
 
 }
--- a/Libraries/LibTraffic/ClassEstimates.cpp
+++ b/Libraries/LibTraffic/ClassEstimates.cpp
@@ -8,7 +8,7 @@
 
 namespace statistics = boost::accumulators;
 
-// NOTE: Starting at a fifth of the target lets the first requests through; real samples replace the guess soon.
+// NOTE: An initial value of a fifth of the target admits the first requests; samples soon replace it.
 constexpr int initial_value_divisor = 5;
 constexpr double high_probability = 0.9;
 
--- a/Libraries/LibTraffic/ClassEstimates.h
+++ b/Libraries/LibTraffic/ClassEstimates.h
@@ -9,7 +9,8 @@
 
 namespace Traffic {
 
-/// An online estimate of one quantile that forgets: two P-square accumulators, the older one replaced in turn.
+/// Online estimate of one quantile over recent samples: two P-square accumulators, the newer replaces the older
+/// regularly.
 class QuantileEstimate {
 public:
     QuantileEstimate(double probability, Core::Duration initial_value);
@@ -32,7 +33,7 @@
     Core::Duration current_value;
 };
 
-/// An exponentially weighted mean.
+/// Exponentially weighted moving mean.
 class MovingMean {
 public:
     explicit MovingMean(double initial_value, double new_sample_weight = 0.1)
@@ -49,7 +50,7 @@
     double weight;
 };
 
-/// How long answers of one class take, learnt from this box's own attempts. Only ever an estimate.
+/// Estimates of how long answers of one class take, from this box's own attempts.
 class ClassEstimates {
 public:
     explicit ClassEstimates(Settings::ClassSettings const& settings);
@@ -57,16 +58,16 @@
     void observe_first_token(Core::Duration after_dispatch);
     void observe_completion(Core::Duration after_dispatch);
 
-    /// High quantile of the time from dispatch to what the target counts.
+    /// High quantile of the time from dispatch to the first token or the whole answer, depending on the target kind.
     [[nodiscard]] Core::Duration high_time_to_target() const;
-    /// Usual time from dispatch to what the target counts.
+    /// Typical time for the same interval: the mean for first tokens, the median for whole answers.
     [[nodiscard]] Core::Duration typical_time_to_target() const;
     [[nodiscard]] Core::Duration high_first_token() const { return this->first_token_high.value(); }
     [[nodiscard]] Core::Duration typical_first_token() const
     {
         return Core::from_seconds(this->first_token_mean.value());
     }
-    /// Mean time that a request of this class holds a slot.
+    /// Mean time that a request of this class occupies a slot.
     [[nodiscard]] Core::Duration mean_duration() const { return Core::from_seconds(this->duration_mean.value()); }
     [[nodiscard]] Core::Duration median_duration() const { return this->duration_median.value(); }
 
--- a/Libraries/LibTraffic/DemandMeter.cpp
+++ b/Libraries/LibTraffic/DemandMeter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Highest share of a window that a tier fills even when the tiers above it ask for nothing.
+/// Maximum share of a window for each tier, even if the tiers above have no demand.
 constexpr std::array<double, tier_count> max_window_shares { 1.0, 0.9, 0.8 };
 
 std::size_t index_of(TierId tier)
@@ -39,7 +39,7 @@
     TierLimits limits {};
     double reserved = 0;
     for (std::uint32_t tier = 0; tier < tier_count; ++tier) {
-        // NOTE: Arrivals vary like a Poisson stream, so one standard deviation is left free above the mean.
+        // NOTE: Arrivals are about Poisson distributed, so one standard deviation is reserved above the mean.
         auto const reserve_with_margin = reserved + std::sqrt(reserved);
         auto const left = total_window <= 0 ? 0 : std::max(0.0, 1 - reserve_with_margin / total_window);
         limits[tier] = tier == 0 ? WindowLimit { 1, 1, false }
--- a/Libraries/LibTraffic/DemandMeter.h
+++ b/Libraries/LibTraffic/DemandMeter.h
@@ -8,11 +8,11 @@
 
 inline constexpr std::size_t tier_count = 3;
 
-/// How many slots each tier asks for, from what arrives at this box: seconds of work a second, over a moving window.
+/// Demand of each tier in slots: this box's arriving work in seconds per second, exponentially averaged.
 class DemandMeter {
 public:
     void add_arrival(TierId tier, double seconds_of_work, Instant now);
-    /// Slots that the tier keeps busy at this rate.
+    /// Number of slots that the current arrival rate of the tier keeps busy.
     [[nodiscard]] double required_slots(TierId tier, Instant now) const;
 
 private:
@@ -27,10 +27,10 @@
     std::array<Meter, tier_count> meters;
 };
 
-/// How far each tier may fill a window.
+/// Limit on the use of a window by each tier.
 using TierLimits = std::array<WindowLimit, tier_count>;
 
-/// Leaves free for each tier what the tiers above it ask for, as `boxes` boxes with alike demand see it.
+/// Limits each tier so that the demand of the tiers above it fits, assuming the same demand on all `boxes` boxes.
 [[nodiscard]] TierLimits limits_for_demand(DemandMeter const& demand, double total_window, int boxes, Instant now);
 
 }
--- a/Libraries/LibTraffic/EndpointHealth.h
+++ b/Libraries/LibTraffic/EndpointHealth.h
@@ -4,21 +4,21 @@
 
 namespace Traffic {
 
-/// Trust in an endpoint by what became of the requests sent there: after a few failures in a row it gets no work for a
-/// while, then one request at a time until one succeeds.
+/// Passive health check of an endpoint. After several consecutive failures the endpoint is ejected for a while; then it
+/// gets one request at a time until one succeeds.
 class EndpointHealth {
 public:
     void record_success();
     void record_failure(Core::Instant now);
 
-    /// Whether it may get a request now, with `own_running` requests of this box there.
+    /// Whether the endpoint may get a request now, while it runs `own_running` requests of this box.
     [[nodiscard]] bool accepts_work(Core::Instant now, int own_running) const;
     [[nodiscard]] bool is_ejected(Core::Instant now) const { return this->ejected_until > now; }
 
 private:
-    /// One or two failures in a row are common where an endpoint fails a part of its requests.
+    /// One or two consecutive failures are common for an endpoint that fails some of its requests.
     static constexpr int failures_before_ejection = 3;
-    /// Longer than a restart's first moments, short beside the targets of the most urgent classes.
+    /// Longer than the start of a restart, short compared to the targets of the most urgent classes.
     static constexpr Core::Duration min_ejection { std::chrono::milliseconds(250) };
     static constexpr Core::Duration max_ejection { std::chrono::seconds(8) };
 
--- a/Libraries/LibTraffic/EndpointTable.h
+++ b/Libraries/LibTraffic/EndpointTable.h
@@ -7,10 +7,11 @@
 
 namespace Traffic {
 
-/// The endpoints of one pool, in a vector so that a sample costs the same at 12 and at 1,900.
+/// The endpoints of one pool. A vector, so that drawing a random endpoint costs the same for 12 and for 1,900
+/// endpoints.
 class EndpointTable {
 public:
-    /// Takes over new settings; an endpoint that is gone from them gets no new work and is dropped once idle.
+    /// Applies new settings. An endpoint that they no longer list gets no new work and is removed once idle.
     void reconfigure(PoolPolicy const& policy);
 
     [[nodiscard]] EndpointView* find(EndpointId endpoint);
@@ -18,9 +19,9 @@
     [[nodiscard]] std::size_t size() const { return this->ids.size(); }
     [[nodiscard]] EndpointId id_at(std::size_t index) const { return this->ids[index]; }
     [[nodiscard]] EndpointView const& view_at(std::size_t index) const { return this->views[index]; }
-    /// Sum of the windows of endpoints that take work: requests that the pool runs at once for all boxes.
+    /// Sum of the windows of endpoints that accept work: concurrent requests of the pool, over all boxes.
     [[nodiscard]] double total_window(Instant now) const;
-    /// Requests believed to be at the endpoints that take work, of all boxes.
+    /// Estimated number of requests of all boxes at endpoints that accept work.
     [[nodiscard]] double total_estimated_running(Instant now) const;
     [[nodiscard]] bool any_accepts_work(Instant now) const;
 
--- a/Libraries/LibTraffic/EndpointView.cpp
+++ b/Libraries/LibTraffic/EndpointView.cpp
@@ -100,7 +100,7 @@
 
 void EndpointView::drop_changes_before(Instant at)
 {
-    // NOTE: The last change before `at` stays, because it tells what was running at `at`.
+    // NOTE: The last change before `at` is kept, because it holds the number that was running at `at`.
     while (this->changes.size() > 1 && this->changes[1].at <= at)
         this->changes.pop_front();
 }
@@ -130,7 +130,7 @@
 {
     if (limit.share <= 0)
         return false;
-    // NOTE: At least one request fits, else a small endpoint would never serve the lower tiers.
+    // NOTE: At least one request fits, or a small endpoint would never serve the lower tiers.
     auto const max_running = std::max(1.0, this->current_window * limit.share) + limit.extra_requests;
     return this->estimated_running(now, limit.assumes_peer_growth) + 1 <= max_running;
 }
--- a/Libraries/LibTraffic/EndpointView.h
+++ b/Libraries/LibTraffic/EndpointView.h
@@ -10,24 +10,24 @@
 
 namespace Traffic {
 
-/// How far a request may fill an endpoint's window.
+/// Limit on the use of an endpoint's concurrency window.
 struct WindowLimit {
     /// Share of the window.
     double share { 1 };
-    /// Requests beyond the share that may wait at the endpoint, so that its next free slot is taken at once.
+    /// Requests beyond the share that may queue at the endpoint, so that its next free slot is used at once.
     double extra_requests { 0 };
-    /// Whether to assume that each peer has started as much as this box since the report. Careful, so for work that
-    /// must leave room; it would leave slots empty if urgent work did it too.
+    /// Whether to assume that each peer has started as many requests as this box since the last report. For lower
+    /// tiers, which must leave capacity free; for urgent work the assumption would leave slots unused.
     bool assumes_peer_growth { false };
 
     bool operator==(WindowLimit const&) const = default;
 };
 
-/// What this box believes of one endpoint: its load, its window, its health.
+/// This box's view of one endpoint: its load, concurrency window and health.
 ///
-/// Reports are late. A report is corrected by what this box started and finished there since it was true. What it says
-/// of the peers fades towards their usual number as the report grows older than a request lasts, else all boxes would
-/// send to the endpoint that was empty a while ago.
+/// Load reports are outdated, so a report is corrected by the requests that this box started and finished since it was
+/// measured. The reported load of the peers decays towards its mean as the report ages, over the time that a request
+/// takes. Otherwise all boxes would send to an endpoint that was idle a while ago.
 class EndpointView {
 public:
     EndpointView(Settings::EndpointSettings const& settings, int boxes);
@@ -37,17 +37,17 @@
     void request_ended(Instant now);
     void apply_report(LoadReport const& report, Instant now);
     void set_leaving(bool leaving) { this->is_leaving = leaving; }
-    /// `ratio` is the observed time to the first token over the typical one of its class.
+    /// `ratio` is the observed time to the first token divided by the typical time of the class.
     void observe_first_token(double ratio);
-    /// How long a whole request held its slot.
+    /// Adds a sample of the time that a completed request occupied its slot.
     void observe_slot_time(Duration held) { this->slot_seconds.add(Core::to_seconds(held)); }
     void record_success() { this->health.record_success(); }
     void record_failure(Instant now) { this->health.record_failure(now); }
     void add_prefix(std::uint64_t prefix_hash);
 
-    /// Whether new work may be placed here at all: not leaving and not ejected, or due for a probe.
+    /// Whether new work may be placed here: the endpoint is not leaving and not ejected, or is due for a probe.
     [[nodiscard]] bool accepts_work(Instant now) const;
-    /// Requests believed to be running or queued there, by all boxes together.
+    /// Estimated number of requests of all boxes that run or queue at the endpoint.
     [[nodiscard]] double estimated_running(Instant now, bool assumes_peer_growth = false) const;
     [[nodiscard]] bool has_capacity(WindowLimit const& limit, Instant now) const;
     [[nodiscard]] double window() const { return this->current_window; }
@@ -68,7 +68,7 @@
     [[nodiscard]] int own_running_at(Instant at) const;
     void drop_changes_before(Instant at);
 
-    /// A report older than this says nothing any more.
+    /// Older reports are ignored.
     static constexpr Duration report_lifetime { std::chrono::seconds(15) };
     static constexpr std::size_t max_prefixes = 64;
     static constexpr double initial_slot_seconds = 1.0;
--- a/Libraries/LibTraffic/FairShares.h
+++ b/Libraries/LibTraffic/FairShares.h
@@ -6,13 +6,14 @@
 
 namespace Traffic {
 
-/// Service received by each account in each tier, in seconds of slot time over the account's weight. An account far
-/// ahead of the least served one waits, so that a burst of one account queues behind itself.
+/// Service received by each client account in each tier: seconds of slot time divided by the account's weight. An
+/// account far ahead of the least served one waits, so that a burst of one account delays only its own requests.
 class FairShares {
 public:
-    /// An account that had nothing waiting starts level with the least served one, not with a credit saved up.
+    /// Called when an account with no queued requests queues one. It starts level with the least served account, so
+    /// that idle time earns no credit.
     void raise_to_least_served(TierId tier, AccountId account, double least_served);
-    /// Nothing of the tier waits: who was served more in the past owes nothing to who comes next.
+    /// Called when no request of the tier is queued. Past service then no longer counts against an account.
     void reset(TierId tier);
     void charge(TierId tier, AccountId account, double seconds, double weight);
     [[nodiscard]] double served(TierId tier, AccountId account) const;
@@ -21,10 +22,11 @@
     std::map<std::pair<TierId, AccountId>, double> served_seconds;
 };
 
-/// The floors of the classes: a small share of a pool's work that a class gets whenever it has work waiting.
+/// Credits for class floors. A floor is a small share of a pool's work that a class gets whenever it has requests
+/// queued.
 class FloorLedger {
 public:
-    /// `seconds` of work were dispatched; each waiting class with a floor earns its share of it.
+    /// Credits a class that has queued requests with its floor share of `seconds` of dispatched work.
     void earn(ClassId earning_class, double floor, double seconds, double mean_seconds);
     [[nodiscard]] bool is_due(ClassId request_class, double mean_seconds) const;
     void spend(ClassId request_class, double seconds);
@@ -35,7 +37,7 @@
     std::map<ClassId, double> credit_seconds;
 };
 
-/// Retries are a bounded share of requests, so that they can't multiply a failure's load.
+/// Limits retries to a share of requests, so that retries cannot amplify the load of a failure.
 class RetryBudget {
 public:
     void add_request(double share);
--- a/Libraries/LibTraffic/Order.cpp
+++ b/Libraries/LibTraffic/Order.cpp
@@ -25,8 +25,8 @@
     return OrderChoice { first->facts.id, full_window, Reason::PlacedByBaseline };
 }
 
-/// How many requests may wait at one endpoint so that the last of them still meets its target. The endpoint's own
-/// queue is the only one that all boxes share, so an urgent request waits there rather than here.
+/// How many requests may queue at one endpoint so that the last one still meets its target. Only the endpoint's own
+/// queue is shared by all boxes, so urgent requests queue there rather than on a box.
 double endpoint_queue_depth(OrderQuery const& query, ClassId request_class)
 {
     constexpr double share_of_slack = 0.5;
@@ -79,7 +79,7 @@
         if (!choice)
             continue;
         choices.push_back(*choice);
-        // NOTE: Where this one finds no room, no lower tier does, since it may fill less of a window.
+        // NOTE: If no endpoint has capacity for this tier, none has for a lower tier, whose limits are stricter.
         break;
     }
     return choices;
--- a/Libraries/LibTraffic/Placement.h
+++ b/Libraries/LibTraffic/Placement.h
@@ -6,14 +6,15 @@
 
 namespace Traffic {
 
-/// What a placement policy may look at.
+/// Input of a placement policy.
 struct PlacementQuery {
     EndpointTable const& endpoints;
     RequestFacts const& facts;
     WindowLimit limit;
-    /// An endpoint that failed this request before; taken only when there is no other.
+    /// An endpoint where this request failed before; used only if no other endpoint is available.
     std::optional<EndpointId> avoided_endpoint;
-    /// An endpoint where a slot has just come free; the whole pool is scanned only without it.
+    /// An endpoint that has just ended an attempt or reported its load. The whole pool is scanned only if there is
+    /// none.
     std::optional<EndpointId> suggested_endpoint;
     std::string const& failure_domain;
     Duration typical_first_token { 0 };
@@ -26,7 +27,7 @@
     std::uint32_t candidate_count { 0 };
 };
 
-/// Endpoints in turn. A baseline.
+/// Baseline: endpoints in round-robin order.
 class RoundRobinPlacement {
 public:
     [[nodiscard]] std::optional<PlacementChoice> place(PlacementQuery const& query, pcg32& random);
@@ -35,21 +36,21 @@
     std::size_t next { 0 };
 };
 
-/// The endpoint with the fewest requests of this box. A baseline.
+/// Baseline: the endpoint with the fewest running requests of this box.
 class LeastOutstandingPlacement {
 public:
     [[nodiscard]] std::optional<PlacementChoice> place(PlacementQuery const& query, pcg32& random) const;
 };
 
-/// The best of a few endpoints drawn at random, by predicted time to the first token. Boxes that hold the same stale
-/// report draw different samples, so they do not all choose the same endpoint.
+/// The best of a few randomly drawn endpoints, by predicted time to the first token. Boxes with the same outdated
+/// report draw different endpoints, so they do not all choose the same one.
 class SampledPlacement {
 public:
     [[nodiscard]] std::optional<PlacementChoice> place(PlacementQuery const& query, pcg32& random) const;
 
 private:
     static constexpr std::size_t max_samples = 8;
-    /// Pools up to this size are always scanned; it costs less than the tries.
+    /// Pools up to this size are scanned completely, which costs less than random sampling.
     static constexpr std::size_t max_scanned_pool = 16;
 };
 
--- a/Libraries/LibTraffic/RequestQueue.h
+++ b/Libraries/LibTraffic/RequestQueue.h
@@ -11,20 +11,20 @@
 
 namespace Traffic {
 
-/// A request that waits, as the order policies see it.
+/// A queued request.
 struct QueuedRequest {
     RequestFacts facts;
     TierId tier;
-    /// Counts arrivals, so that first come, first served is exact.
+    /// Arrival number, which makes first come, first served exact.
     std::uint64_t sequence { 0 };
     Instant patience_end;
-    /// Whether it can no longer meet its target; it then waits behind those that can.
+    /// Whether the request can no longer meet its target. Late requests are placed after the others.
     bool is_late { false };
 
     bool operator==(QueuedRequest const&) const = default;
 };
 
-/// The requests of one class and one account, in the order they came; the late ones apart.
+/// Queued requests of one class and one client account, in order of arrival. Late requests form a flow of their own.
 struct Flow {
     ClassId request_class;
     AccountId account;
@@ -33,16 +33,16 @@
     std::deque<QueuedRequest> requests;
 };
 
-/// All waiting requests of a pool, in flows, with the work that each tier waits for.
+/// All queued requests of a pool, grouped in flows and counted by class and tier.
 class RequestQueue {
 public:
     void push_back(QueuedRequest const& request);
-    /// Puts a request that had been dispatched before back at the head of its flow.
+    /// Puts a previously dispatched request back at the head of its flow.
     void push_front(QueuedRequest const& request);
     [[nodiscard]] std::optional<QueuedRequest> remove(RequestId request);
-    /// Moves a request to the late ones of its class and account.
+    /// Moves a request to the late flow of its class and account.
     void mark_late(RequestId request);
-    /// Removes and returns all requests whose patience ends at or before `now`.
+    /// Removes and returns all requests whose patience has ended at `now`.
     [[nodiscard]] std::vector<QueuedRequest> remove_expired(Instant now);
 
     [[nodiscard]] QueuedRequest const* find(RequestId request) const;
@@ -51,10 +51,10 @@
     [[nodiscard]] std::size_t size_of_class(ClassId request_class) const;
     [[nodiscard]] std::map<ClassId, std::size_t> const& class_sizes() const { return this->size_by_class; }
     [[nodiscard]] std::size_t size_of_tier(TierId tier) const;
-    /// Calls back for each flow of the tier that has a request waiting.
+    /// Calls `callback` for each non-empty flow of the tier.
     void for_each_flow(TierId tier, std::function<void(Flow const&)> const& callback) const;
     [[nodiscard]] std::vector<TierId> tiers() const;
-    /// The youngest request of the lowest tier below `tier`, if any: what is shed to make room.
+    /// The newest request of the lowest tier below `tier`, if any. It is shed first if the queue is full.
     [[nodiscard]] std::optional<RequestId> newest_below(TierId tier) const;
 
 private:
--- a/Libraries/LibTraffic/TrafficEngine.cpp
+++ b/Libraries/LibTraffic/TrafficEngine.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t max_attempts = 3;
-/// More requests than ever wait at one endpoint.
+/// More requests than ever queue at one endpoint.
 constexpr double unlimited_depth = 1e6;
 
 }
@@ -26,7 +26,7 @@
 
 void TrafficEngine::reconfigure(PoolPolicy pool_policy, Instant)
 {
-    // NOTE: A class that is gone stays known here, because requests of it may still wait or run.
+    // NOTE: Removed classes are kept, because some of their requests may still be queued or running.
     for (auto const& [id, settings] : this->policy.classes)
         pool_policy.classes.emplace(id, settings);
     auto const policy_changed = pool_policy.routing.policy != this->policy.routing.policy;
@@ -70,15 +70,15 @@
 
 std::optional<WindowLimit> TrafficEngine::limit_within_own_share(WindowLimit const& limit) const
 {
-    // NOTE: When all boxes are pressed alike, each keeping to its share keeps the endpoints' queues short, however old
-    // the reports are, so inside the share a report can't forbid a placement. Rounded up, because seven boxes that each
-    // round 1.7 places down to 1 leave a small pool idle.
+    // NOTE: If all boxes have the same load, endpoint queues stay short as long as each box keeps to its share, however
+    // old the reports are. So within the share a report can't prevent a placement. The share is rounded up: seven boxes
+    // that each round 1.7 places down to 1 would leave a small pool partly idle.
     auto const boxes = static_cast<double>(this->policy.routing.boxes);
     auto const places
         = this->load.window * limit.share + limit.extra_requests * static_cast<double>(this->endpoints.size());
     if (static_cast<double>(this->running.size()) + 1 <= std::ceil(places / boxes))
         return WindowLimit { 1, unlimited_depth, false };
-    // A box that is pressed alone borrows what the reports show to be free.
+    // Beyond its share, a box may use the capacity that the reports show as free.
     auto const is_idle_enough = this->load.estimated_running + boxes <= this->load.window * limit.share;
     return is_idle_enough ? std::optional { limit } : std::nullopt;
 }
@@ -113,7 +113,7 @@
         this->shed_lower_tier_request(settings.tier, actions, now);
         refusal.reset();
     }
-    // NOTE: An urgent request waits rather than being refused while lower work could still make way for it.
+    // NOTE: A request is queued rather than refused as long as it could preempt a request of a lower tier.
     if (refusal && !this->is_baseline && *refusal != Reason::NoEndpoint && this->queue.size() < max_queue_length
         && this->preemption_victim(settings.tier))
         refusal.reset();
@@ -195,7 +195,7 @@
         break;
     case AttemptResult::ConnectionRefused:
     case AttemptResult::EndpointBusy:
-        // NOTE: A key claimed by this box is settled by this attempt, so a not-repeatable one is not placed again.
+        // NOTE: This attempt settles the key claimed by this box, so a non-repeatable request is not placed again.
         if (!settings.repeatable)
             return Reason::RetryNotAllowed;
         break;
@@ -226,7 +226,7 @@
     auto const elapsed = now - ended.dispatched_at;
     if (view != nullptr)
         view->observe_slot_time(elapsed);
-    // NOTE: The account is charged for the true length once it is known, not for the estimate.
+    // NOTE: The account was charged for the estimated duration at dispatch; this corrects it to the actual one.
     auto const correction = Core::to_seconds(elapsed) - Core::to_seconds(class_estimates.mean_duration());
     auto const weight = this->policy.account_weights.find(ended.request.facts.account);
     this->shares.charge(ended.request.tier, ended.request.facts.account, correction,
@@ -319,7 +319,7 @@
         limit = this->limit_within_own_share(choice.limit);
     if (!limit)
         return false;
-    // NOTE: Lower tiers keep to the reports even inside the share, since the room they leave is meant for others.
+    // NOTE: Lower tiers respect the reports even within the share, since they must leave capacity for higher tiers.
     if (request->tier.value() > 0 && choice.reason != Reason::PlacedByFloor)
         limit = choice.limit;
     auto const retry = this->retries.find(choice.request);
@@ -384,7 +384,7 @@
         if (tier > request.tier)
             break;
         this->queue.for_each_flow(tier, [&](Flow const& flow) {
-            // NOTE: Late requests wait behind those that can still be in time, as this one can.
+            // NOTE: Late requests are placed after requests that can still meet their target, such as this one.
             if (tier == request.tier && flow.is_late && !request.is_late)
                 return;
             auto const seconds = static_cast<double>(flow.requests.size())
@@ -397,7 +397,7 @@
     }
     auto const own_seconds = seconds_of_account[request.facts.account]
         + Core::to_seconds(this->estimates_of(request.facts).mean_duration());
-    // NOTE: By the time this request is served, fair shares let no other account run more than this one's own work.
+    // NOTE: Fair sharing lets no other account get more service than this account before this request is served.
     for (auto const& [account, seconds] : seconds_of_account)
         seconds_ahead += std::min(seconds, own_seconds);
     if (seconds_ahead == 0)
--- a/Libraries/LibTraffic/TrafficEngine.h
+++ b/Libraries/LibTraffic/TrafficEngine.h
@@ -6,37 +6,37 @@
 
 namespace Traffic {
 
-/// Figures of a pool for operators.
+/// Status of a pool, for operators.
 struct PoolStatus {
     std::size_t queued { 0 };
     std::size_t running { 0 };
-    /// Endpoints that take no new work because they leave.
+    /// Endpoints that accept no new work because they are shutting down.
     std::size_t leaving { 0 };
     std::map<ClassId, std::size_t> queued_by_class;
     std::uint64_t lower_tier_sheds { 0 };
     std::uint64_t urgent_refusals_beside_lower_work { 0 };
 };
 
-/// Decides for all requests of one pool on one box: admit, queue, place, retry, preempt, give up.
+/// Schedules all requests of one pool on one box: admission, queueing, placement, retries, preemption and refusal.
 ///
-/// Pure: an event and the time go in, actions come out. The caller carries the actions out and reports what became of
-/// them. Each submitted request ends in exactly one Refuse or Conclude.
+/// Does no I/O: takes an event and the time, returns actions. The calling code carries out the actions and reports
+/// their results. Each submitted request ends in exactly one Refuse or Conclude.
 class TrafficEngine {
 public:
     TrafficEngine(PoolPolicy policy, std::uint64_t seed);
 
-    /// Takes over new settings; waiting and running requests stay.
+    /// Applies new settings; queued and running requests are kept.
     void reconfigure(PoolPolicy policy, Instant now);
 
     [[nodiscard]] Actions submit(RequestFacts const& facts, Instant now);
-    /// The first piece of an answer has come.
+    /// The first token of an answer was received.
     void observe_first_token(RequestId request, Instant now);
     /// An attempt ended.
     [[nodiscard]] Actions finish(RequestId request, AttemptEnd const& end, Instant now);
-    /// The caller of a waiting request has gone. A running one ends through finish().
+    /// The client of a queued request has disconnected. A running request ends through finish().
     [[nodiscard]] Actions cancel(RequestId request, Instant now);
     [[nodiscard]] Actions apply_report(EndpointId endpoint, LoadReport const& report, Instant now);
-    /// Gives up on what waited too long and places what can be placed. Call every few milliseconds.
+    /// Refuses requests that waited too long and places what can be placed. Call every few milliseconds.
     [[nodiscard]] Actions tick(Instant now);
 
     [[nodiscard]] PoolStatus status() const;
@@ -54,7 +54,7 @@
         bool first_token_seen { false };
         bool preempted { false };
     };
-    /// Sums over the endpoints, renewed with every tick because they cost a pass over all of them.
+    /// Sums over all endpoints, updated only with each tick because they cost a pass over the endpoints.
     struct PoolLoad {
         double window { 0 };
         double estimated_running { 0 };
@@ -78,7 +78,8 @@
 
     void choose_policies();
     void update_pool_load(Instant now);
-    /// The limit for work that no report may keep from running while this box is inside its share of the pool.
+    /// The limit to apply, or nothing if the request may not be placed. Within this box's share of the pool, load
+    /// reports do not restrict placement.
     [[nodiscard]] std::optional<WindowLimit> limit_within_own_share(WindowLimit const& limit) const;
     void add_estimates();
     void enqueue(QueuedRequest const& request, bool at_front);
--- a/Libraries/LibTraffic/TrafficEngineOverload.cpp
+++ b/Libraries/LibTraffic/TrafficEngineOverload.cpp
@@ -1,4 +1,4 @@
-/// What the traffic engine does when there is more work than room: preempt, sort out the late, refuse.
+/// Overload handling of the traffic engine: preemption, late requests and refusals.
 
 #include <LibTraffic/TrafficEngine.h>
 
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// A waiting urgent request may preempt once it has this share of its target left before its latest start.
+/// A queued urgent request may preempt once its slack is at most its target divided by this number.
 constexpr int preemption_margin_divisor = 3;
-/// Preempting work further along than this share of its usual length wastes more than it wins.
+/// Attempts past this share of their mean duration are not preempted: the wasted work would outweigh the gain.
 constexpr double max_preempted_progress = 0.5;
 constexpr Duration min_retry_after { std::chrono::seconds(1) };
 constexpr Duration max_retry_after { std::chrono::minutes(5) };
@@ -28,7 +28,7 @@
             && !attempt.partly_delivered && !attempt.preempted && this->class_of(attempt.request.facts).repeatable;
         if (!is_preemptible)
             continue;
-        // NOTE: The sequence breaks ties, so that the choice does not hang on the order of a hash table.
+        // NOTE: The sequence breaks ties, so that the choice does not depend on the order of the hash table.
         auto const rank
             = [](Running const& of) { return std::tuple(of.request.tier, of.dispatched_at, of.request.sequence); };
         if (victim == nullptr || rank(attempt) > rank(*victim))
@@ -90,7 +90,7 @@
             for (auto const& request : flow.requests) {
                 auto const is_late = slack_of(request, settings, class_estimates, now).count() < 0;
                 auto const outlasts_patience = now + class_estimates.median_duration() > request.patience_end;
-                // NOTE: Requests of a flow stand in order of arrival, so those behind have more time left.
+                // NOTE: Requests of a flow are in order of arrival, so the following ones have more time left.
                 if (!is_late && !outlasts_patience)
                     break;
                 if (is_late && !settings.late_answer_useful)
--- a/Libraries/LibTraffic/TrafficTypes.h
+++ b/Libraries/LibTraffic/TrafficTypes.h
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-/// Events and actions of the traffic engine. Everything here is a value; nothing does I/O.
+/// Events and actions of the traffic engine, as plain values. Nothing here does I/O.
 namespace Traffic {
 
 using Core::AccountId;
@@ -25,26 +25,26 @@
 using Core::RequestId;
 using Core::TierId;
 
-/// What is known of a request when it arrives.
+/// Properties of a request that are known when it arrives.
 struct RequestFacts {
     RequestId id;
     ClassId request_class;
     AccountId account;
     Instant arrived;
-    /// Hash of the prompt's beginning; 0 for none. Equal hashes may share an engine's prefix cache.
+    /// Hash of the prompt's prefix; 0 for none. Requests with equal hashes may share an endpoint's prefix cache.
     std::uint64_t prefix_hash { 0 };
-    /// Whether the caller sees the answer as it comes, so that it can't be started over once begun.
+    /// Whether the answer is streamed to the client. It can't be restarted once a part has been sent.
     bool streaming { false };
 
     bool operator==(RequestFacts const&) const = default;
 };
 
-/// An endpoint's report of its own load, already late when it arrives.
+/// An endpoint's report of its own load. Always somewhat outdated when it arrives.
 struct LoadReport {
     int running { 0 };
     int queued { 0 };
     int slots { 1 };
-    /// When the figures were true, on this box's clock.
+    /// When the load was measured, on this box's clock.
     Instant measured_at;
     bool leaving { false };
 
@@ -55,13 +55,13 @@
     Completed,
     /// No byte of the request reached the endpoint.
     ConnectionRefused,
-    /// The endpoint answered that it did not take the request.
+    /// The endpoint rejected the request without running it.
     EndpointBusy,
-    /// Sent, then nothing whole came back; it may have run.
+    /// Sent, but no complete answer was received; the request may have run.
     Failed,
-    /// The answer broke after the caller had seen a part of it.
+    /// The connection broke after a part of the answer had been sent to the client.
     BrokenAfterDelivery,
-    /// Not sent: this box could not claim the key.
+    /// Not sent, because this box could not claim the idempotency key.
     NotSent,
     CallerGone,
     /// Cancelled by a Preempt action.
@@ -84,12 +84,12 @@
 
 inline constexpr std::size_t max_candidates = 3;
 
-/// The figures that a decision was taken on, kept so that it can be explained later.
+/// Inputs of a decision, stored so that the decision can be explained later.
 struct DecisionInputs {
     std::uint32_t queued { 0 };
     std::uint32_t running { 0 };
     Duration predicted_wait { 0 };
-    /// Time left until the latest start that meets the target; negative when it has passed.
+    /// Time until the latest start that still meets the target; negative if that start has passed.
     Duration slack { 0 };
     std::array<CandidateScore, max_candidates> candidates {};
     std::uint32_t candidate_count { 0 };
@@ -97,7 +97,7 @@
     bool operator==(DecisionInputs const&) const = default;
 };
 
-/// The request waits in the queue.
+/// The request is queued.
 struct Wait {
     RequestId request;
     DecisionInputs inputs;
@@ -105,7 +105,7 @@
     bool operator==(Wait const&) const = default;
 };
 
-/// Send the request to the endpoint now.
+/// Send the request to the endpoint.
 struct Dispatch {
     RequestId request;
     EndpointId endpoint;
@@ -117,7 +117,7 @@
     bool operator==(Dispatch const&) const = default;
 };
 
-/// Tell the caller now that the request is given up on.
+/// Refuse the request with an error to the client.
 struct Refuse {
     RequestId request;
     Reason reason { Reason::None };
@@ -127,7 +127,7 @@
     bool operator==(Refuse const&) const = default;
 };
 
-/// Cancel the running attempt; the request goes back into the queue.
+/// Cancel the running attempt and queue the request again.
 struct Preempt {
     RequestId request;
     EndpointId endpoint;
@@ -136,7 +136,7 @@
     bool operator==(Preempt const&) const = default;
 };
 
-/// A failed attempt is tried again: the request waits in the queue once more.
+/// The attempt failed; the request is queued again for a retry.
 struct Retry {
     RequestId request;
     Reason reason { Reason::None };
@@ -144,7 +144,7 @@
     bool operator==(Retry const&) const = default;
 };
 
-/// The request is over; a failed one is not tried again for the reason given.
+/// The request has ended. If it failed, `reason` says why it is not retried.
 struct Conclude {
     RequestId request;
     AttemptResult result { AttemptResult::Completed };
@@ -156,7 +156,7 @@
 using Action = std::variant<Wait, Dispatch, Refuse, Preempt, Retry, Conclude>;
 using Actions = std::vector<Action>;
 
-/// What a pool's engine has to know of the settings. Ids stay the same from one version to the next.
+/// The settings that the engine of one pool needs. An id keeps its meaning from one settings version to the next.
 struct PoolPolicy {
     std::map<ClassId, Settings::ClassSettings> classes;
     std::map<AccountId, double> account_weights;
--- a/Tests/LibTraffic/TestTrafficEngine.cpp
+++ b/Tests/LibTraffic/TestTrafficEngine.cpp
@@ -7,7 +7,7 @@
 
 using Settings::PolicyName;
 
-/// A random history of arrivals, failures and ends; returns the pool after it has drained.
+/// Runs random arrivals, failures and completions; returns the pool once all requests have ended.
 VirtualPool random_history(PolicyName policy, std::uint64_t seed)
 {
     VirtualPool pool({ 4, 4, policy, 0.05, seed });
@@ -36,7 +36,7 @@
 
 }
 
-TEST_CASE("each request ends exactly once, whatever the policy")
+TEST_CASE("each request ends exactly once under every policy")
 {
     for (auto const policy : { PolicyName::Cleatbeam, PolicyName::RoundRobinFifo, PolicyName::LeastOutstandingFifo,
              PolicyName::LeastOutstandingStrict }) {
@@ -49,7 +49,7 @@
     }
 }
 
-TEST_CASE("only lower, repeatable work that no caller has seen is preempted")
+TEST_CASE("only repeatable requests of lower tiers are preempted")
 {
     int preemptions = 0;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -65,7 +65,7 @@
     CHECK(preemptions > 0);
 }
 
-TEST_CASE("work that may not be repeated is not preempted, where repeatable work in its place is")
+TEST_CASE("a non-repeatable request is not preempted where a repeatable one would be")
 {
     for (auto const lower : { 2U, 4U }) {
         VirtualPool pool({ 1, 2, PolicyName::Cleatbeam, 0, 3 });
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("a not-repeatable request is sent to an endpoint at most once")
+TEST_CASE("a non-repeatable request is dispatched at most once")
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         auto const pool = random_history(PolicyName::Cleatbeam, seed);
@@ -95,7 +95,7 @@
     }
 }
 
-TEST_CASE("a background request completes under an endless stream of urgent work")
+TEST_CASE("a background request completes under continuous urgent load")
 {
     VirtualPool pool({ 2, 4, PolicyName::Cleatbeam, 0, 7 });
     pool.run_for(0.01);
@@ -112,11 +112,11 @@
     CHECK(background.concluded->result == Traffic::AttemptResult::Completed);
 }
 
-TEST_CASE("a burst of one account queues behind itself")
+TEST_CASE("a burst of one account delays only its own requests")
 {
     VirtualPool pool({ 2, 4, PolicyName::Cleatbeam, 0, 3 });
     for (int step = 0; step < 1000; ++step) {
-        // Capacity is 8 slots over 0.2 s, so 40 a second; the first account alone asks for 75.
+        // 8 slots at 0.2 s per request serve 40 requests per second; the first account alone sends 75.
         if (step % 4 != 0)
             pool.submit(2, 0);
         if (step % 20 == 0)
@@ -128,7 +128,7 @@
     CHECK(share_completed(pool, 0) < 0.9);
 }
 
-TEST_CASE("an account that was served much while nobody waited owes nothing later")
+TEST_CASE("service received while no other account was waiting does not count later")
 {
     VirtualPool pool({ 1, 2, PolicyName::Cleatbeam, 0, 3 });
     for (int request = 0; request < 50; ++request) {
@@ -148,7 +148,7 @@
     CHECK(ended_before < 4);
 }
 
-TEST_CASE("late requests do not stand in the way of those that can be in time")
+TEST_CASE("late requests do not delay requests that can still meet their target")
 {
     VirtualPool pool({ 1, 2, PolicyName::Cleatbeam, 0, 3 });
     for (int request = 0; request < 60; ++request)
@@ -163,7 +163,7 @@
     CHECK(waiting > 10);
 }
 
-TEST_CASE("a full queue sheds the youngest of the lowest tier, never upwards")
+TEST_CASE("a full queue sheds the newest request of the lowest tier")
 {
     constexpr int endpoints = 64;
     constexpr int slots = 64;
@@ -188,7 +188,7 @@
     CHECK(shed == 1);
 }
 
-TEST_CASE("a refusal says when to come back, from the backlog")
+TEST_CASE("a refusal has a retry delay that depends on the backlog")
 {
     VirtualPool pool({ 1, 2, PolicyName::Cleatbeam, 0, 3 });
     for (int request = 0; request < 400; ++request)
@@ -200,7 +200,7 @@
     CHECK(last.refused->inputs.queued > 10);
 }
 
-TEST_CASE("an endpoint that reports that it leaves gets nothing new")
+TEST_CASE("an endpoint that reports it is leaving gets no new requests")
 {
     VirtualPool pool({ 2, 4, PolicyName::Cleatbeam, 0, 3 });
     Traffic::LoadReport report { 0, 0, 4, pool.now, true };
@@ -213,7 +213,7 @@
     CHECK(pool.placed_at[Core::EndpointId { 1 }] == 50);
 }
 
-TEST_CASE("retries stay inside their budget when many attempts fail")
+TEST_CASE("retries stay within their budget when many attempts fail")
 {
     VirtualPool pool({ 4, 8, PolicyName::Cleatbeam, 0.4, 3 });
     int requests = 0;
--- a/Tests/LibTraffic/VirtualPool.h
+++ b/Tests/LibTraffic/VirtualPool.h
@@ -5,7 +5,7 @@
 #include <pcg_random.hpp>
 #include <queue>
 
-/// Drives a traffic engine in virtual time against endpoints that answer after a drawn time.
+/// Runs a traffic engine in virtual time against simulated endpoints with random answer times.
 class VirtualPool {
 public:
     struct Options {
@@ -46,7 +46,8 @@
         return settings;
     }
 
-    /// Class 0 urgent, 1 urgent and not repeatable, 2 session, 3 background with a floor, 4 session and not repeatable.
+    /// Classes: 0 urgent, 1 urgent and non-repeatable, 2 session, 3 background with a floor, 4 session and
+    /// non-repeatable.
     static Traffic::PoolPolicy policy_for(Options const& options)
     {
         Traffic::PoolPolicy policy;
@@ -73,7 +74,7 @@
         this->apply_actions(this->engine.submit(facts, this->now));
     }
 
-    /// Lets time pass in ticks, with the ends of attempts that fall due.
+    /// Advances time in ticks and ends the attempts that are due.
     void run_for(double seconds)
     {
         auto const until = this->now + Core::from_seconds(seconds);
@@ -133,7 +134,7 @@
     {
         ++this->requests[action.request].preemptions;
         this->preempted.push_back(action.request);
-        // The shell reports the stopped attempt a moment later; here at the next tick's time.
+        // In production the end of a cancelled attempt is reported a moment later; here it is reported at once.
         this->scheduled_ends.push({ this->now, action.request, -1 });
         this->apply_actions(this->engine.finish(action.request, { Traffic::AttemptResult::Preempted }, this->now));
     }
