--- a/Libraries/LibFate/FateLedger.cpp
+++ b/Libraries/LibFate/FateLedger.cpp
@@ -21,8 +21,8 @@
             return Rejection { Outcome::NotRun, Reason::KeyReusedForOtherRequest };
         return this->verdict_for(found->second);
     }
-    // NOTE: A record of this key can't be older than the key itself less the allowance, and the stamps on records may
-    // be off by the allowance again.
+    // NOTE: A record of this key can be older than the key by at most the clock skew, and record timestamps may be off
+    // by the clock skew again.
     if (!this->history_start || request.created_milliseconds < *this->history_start + 2 * this->limits.max_clock_skew)
         return Rejection { Outcome::Undecided, Reason::KeyHistoryNotRead };
     auto const pending = this->pending_claims.find(request.key);
@@ -200,8 +200,8 @@
 
 void FateLedger::remove_expired(std::int64_t now)
 {
-    // NOTE: A key whose record bears a stamp may have been made up to the allowance after it, and the stamp's clock may
-    // be off by as much.
+    // NOTE: A key may have been created up to the clock skew after its record's timestamp, and the clock of that
+    // timestamp may be off by the same amount.
     auto const oldest = now - this->limits.max_key_age - 2 * this->limits.max_clock_skew;
     std::erase_if(this->fates, [&](auto const& entry) {
         if (entry.second.appended_milliseconds >= oldest)
--- a/Libraries/LibFate/FateLedger.h
+++ b/Libraries/LibFate/FateLedger.h
@@ -12,21 +12,21 @@
 
 namespace Fate {
 
-/// Bounds on the clocks and memories of the protocol, in milliseconds.
+/// Time and size limits of the protocol. Times are in milliseconds.
 struct FateLimits {
-    /// How far any two clocks may differ. Keys from further in the future are refused.
+    /// Maximum difference between any two clocks. Keys from further in the future are rejected.
     std::int64_t max_clock_skew { 10'000 };
-    /// Age up to which a key may be used. Less than the log's retention.
+    /// Maximum age of a usable key. Must be less than the log's retention.
     std::int64_t max_key_age { 24LL * 3600 * 1000 };
-    /// Answers longer than this are not kept for replays, in bytes.
+    /// Longer answers are not kept for replay.
     std::size_t max_kept_body_bytes { 4096 };
-    /// Bytes of answers kept in all.
+    /// Limit on the total size of kept answers.
     std::size_t max_kept_bytes { 64U << 20U };
 
     bool operator==(FateLimits const&) const = default;
 };
 
-/// A request that asks to run a key.
+/// A request to run under an idempotency key.
 struct KeyRequest {
     Key key;
     std::int64_t created_milliseconds { 0 };
@@ -35,22 +35,22 @@
     bool operator==(KeyRequest const&) const = default;
 };
 
-/// Nobody has the key yet: append this claim and wait for it to be read back.
+/// The key is unclaimed: append this claim and wait until it is read back.
 struct MustClaim {
     Claim claim;
     bool operator==(MustClaim const&) const = default;
 };
-/// Another attempt holds the key; its end may still be read from the log.
+/// Another attempt holds the key; its result may still follow in the log.
 struct HeldByOther {
     Claimant holder;
     bool operator==(HeldByOther const&) const = default;
 };
-/// The key ran and its answer is here.
+/// The request has run and its answer is kept.
 struct Replay {
     Settled settled;
     bool operator==(Replay const&) const = default;
 };
-/// The request gets this answer now.
+/// No run is started; the client gets this outcome.
 struct Rejection {
     Core::Outcome outcome { Core::Outcome::Unknown };
     Core::Reason reason { Core::Reason::None };
@@ -59,21 +59,20 @@
 using Verdict = std::variant<MustClaim, HeldByOther, Replay, Rejection>;
 
 enum class ClaimState {
-    /// Appended or about to be; not read back.
+    /// Appended, or about to be, and not read back yet.
     Waiting,
-    /// Read back as the first: may be sent, once.
+    /// Read back as the first record of its key: may be sent once.
     Won,
-    /// Another Claim or a Void was first.
+    /// Another Claim or a Void came first.
     Lost,
     /// Sent to an endpoint.
     Sent,
 };
 
-/// The fates of all keys, as the order of the log gives them, and this process's own claims.
+/// The fates of all keys, as decided by the order of the log, and this process's own claims.
 ///
-/// Pure: records and requests go in, verdicts come out; who calls appends what it is told to. Safety rests on three
-/// rules kept here: a claim may be sent only when it has been read back as the first record of its key, only once, and
-/// never after it was given up on.
+/// Does no I/O: takes records and requests, returns verdicts and the records to append. Safety rests on three rules: a
+/// claim may be sent only after it was read back as the first record of its key, only once, and never after give_up().
 class FateLedger {
 public:
     FateLedger(Incarnation own_incarnation, FateLimits const& limits)
@@ -82,30 +81,30 @@
     {
     }
 
-    /// What is known of the key; nothing when it would have to be claimed.
+    /// Returns the verdict on a key, or nothing if the key must be claimed first.
     [[nodiscard]] std::optional<Verdict> check(KeyRequest const& request, std::int64_t now_milliseconds) const;
-    /// As peek(), and makes a claim when there has to be one.
+    /// Like check(), but creates a claim if one is needed.
     [[nodiscard]] Verdict check_or_claim(KeyRequest const& request, std::int64_t now_milliseconds);
-    /// What a held key has come to since, without claiming it.
+    /// Returns the current verdict on a held key without claiming it.
     [[nodiscard]] Verdict current_verdict(Key const& key) const;
 
-    /// Takes in one record at its place in the log. Places may come in any order, each any number of times. Returns the
-    /// records that must now be appended: own claims that turned up after they were given up on are settled not-run.
-    /// `appended_milliseconds` is the stamp of the batch that the record came in.
+    /// Applies one record of the log. Offsets may be applied in any order and repeatedly. Returns the records to
+    /// append: own claims that are read back after give_up() are settled as not run. `appended_milliseconds` is the
+    /// timestamp of the record's batch.
     [[nodiscard]] std::vector<Record> apply(
         Core::Offset offset, Record const& record, std::int64_t appended_milliseconds);
 
     [[nodiscard]] ClaimState state_of(Claim const& claim) const;
-    /// Allows the one sending of a claim. False when the claim has not won, was sent before or was given up on.
+    /// Permits the single sending of a claim. False if the claim has not won, was already sent or was given up.
     [[nodiscard]] bool try_send(Claim const& claim);
-    /// Whether somebody still waits for the claim. One that nobody waits for need not be appended.
+    /// Whether a request still waits for the claim. Otherwise the claim need not be appended.
     [[nodiscard]] bool is_wanted(Claim const& claim) const;
-    /// The caller waits no longer. From now on the claim is never sent. Returns what must be appended, if anything.
+    /// Gives up the claim: from now on it is never sent. Returns a record to append, if needed.
     [[nodiscard]] std::optional<Record> give_up(Claim const& claim);
 
-    /// Every record that was appended after this time has been applied.
+    /// States that every record appended after this time has been applied.
     void set_history_start(std::int64_t milliseconds) { this->history_start = milliseconds; }
-    /// Drops keys that are too old to be asked for.
+    /// Removes keys that are too old to be used.
     void remove_expired(std::int64_t now_milliseconds);
 
     [[nodiscard]] std::size_t size() const { return this->fates.size(); }
@@ -141,9 +140,9 @@
     std::optional<std::int64_t> history_start;
     std::unordered_map<Key, KeyFate> fates;
     std::map<std::uint64_t, OwnClaim> own_claims;
-    /// Own claims under way by key, so that two requests here share one.
+    /// Own claims in progress by key, so that two requests on this box share one claim.
     std::unordered_map<Key, Claim> pending_claims;
-    /// Settlements that were read before the claim they belong to.
+    /// Settlements that were read before their claim.
     std::unordered_map<Key, std::vector<EarlySettlement>> early_settlements;
     std::deque<Key> kept_bodies;
     std::size_t kept_bytes { 0 };
--- a/Libraries/LibFate/FateTypes.cpp
+++ b/Libraries/LibFate/FateTypes.cpp
@@ -42,7 +42,7 @@
     return result == wire::RESULT_COMPLETED ? Result::Completed : Result::Unknown;
 }
 
-/// Writes each kind of record into its message.
+/// Writes a record of any kind into a protobuf message.
 struct RecordWriter {
     wire::Record& message;
 
@@ -93,7 +93,7 @@
 
 Key Key::create(std::string const& account, std::string const& idempotency_key)
 {
-    // NOTE: Names hold no NUL, so no account can make up another's key.
+    // NOTE: Account names contain no NUL, so no account can construct the key of another.
     auto const text = account + '\0' + idempotency_key;
     auto const hash = XXH3_128bits(text.data(), text.size());
     return { hash.high64, hash.low64 };
@@ -115,7 +115,7 @@
         return {};
     Batch batch { message.at_milliseconds(), {} };
     for (auto const& record : message.records()) {
-        // NOTE: A kind of record that a later version added is passed over.
+        // NOTE: Record kinds added by later versions are skipped.
         if (auto read = read_record(record))
             batch.records.push_back(std::move(*read));
     }
--- a/Libraries/LibFate/FateTypes.h
+++ b/Libraries/LibFate/FateTypes.h
@@ -11,13 +11,13 @@
 #include <variant>
 #include <vector>
 
-/// Values of the protocol that lets a key run at most once. See docs/KEY-FATES.md.
+/// Values of the protocol that runs each idempotency key at most once. See docs/KEY-FATES.md.
 namespace Fate {
 
-/// One process of a box, from its start to its end. Drawn at random.
+/// Random identifier of one run of a box process.
 using Incarnation = Core::StrongId<struct IncarnationTag>;
 
-/// Hash of an account and its idempotency key.
+/// Hash of a client account and its idempotency key.
 struct Key {
     std::uint64_t high { 0 };
     std::uint64_t low { 0 };
@@ -34,7 +34,7 @@
     auto operator<=>(Claimant const&) const = default;
 };
 
-/// Wish to run the key. Decides its fate when it is the first Claim or Void of the key in the log.
+/// Claims the key for a run. Takes effect if it is the first Claim or Void of the key in the log.
 struct Claim {
     Key key;
     Claimant claimant;
@@ -43,7 +43,7 @@
     bool operator==(Claim const&) const = default;
 };
 
-/// Wish that the key never runs. Decides its fate when it is the first Claim or Void of the key in the log.
+/// Voids the key so that it never runs. Takes effect if it is the first Claim or Void of the key in the log.
 struct Void {
     Key key;
 
@@ -54,11 +54,11 @@
     /// No byte of the request reached an endpoint, and none will.
     NotRun,
     Completed,
-    /// It was sent; what became of it is not known.
+    /// The request was sent, but its result is unknown.
     Unknown,
 };
 
-/// What the claimant knows of how its run ended.
+/// The result of a run, as recorded by its claimant.
 struct Settled {
     Key key;
     Claimant claimant;
@@ -73,7 +73,7 @@
 
 using Record = std::variant<Claim, Void, Settled>;
 
-/// What one append to the log holds.
+/// The records of one append to the log.
 struct Batch {
     std::int64_t at_milliseconds { 0 };
     std::vector<Record> records;
@@ -83,7 +83,7 @@
     [[nodiscard]] static std::optional<Batch> try_decode(std::string const& payload);
 };
 
-/// The time that a UUIDv7 (RFC 9562) was made, in milliseconds since 1970; nothing for any other text.
+/// Creation time of a UUIDv7 (RFC 9562) in milliseconds since 1970, or nothing for any other text.
 [[nodiscard]] std::optional<std::int64_t> creation_time_of(std::string const& idempotency_key);
 
 }
--- a/Tests/LibFate/TestFateLedger.cpp
+++ b/Tests/LibFate/TestFateLedger.cpp
@@ -40,7 +40,7 @@
 
 }
 
-TEST_CASE("a claim may be sent only after it is read back as the first, and once")
+TEST_CASE("a claim is sent only after it was read back as the first record, and only once")
 {
     auto one = ledger_with_history(1);
     auto two = ledger_with_history(2);
@@ -58,7 +58,7 @@
     CHECK(std::get<Fate::HeldByOther>(two.current_verdict(first.key)).holder == first.claimant);
 }
 
-TEST_CASE("a claim that turns up after it was given up on is never sent and is settled not-run")
+TEST_CASE("a claim read back after it was given up is never sent and is settled as not run")
 {
     auto ledger = ledger_with_history(1);
     auto const claim = claim_of(ledger.check_or_claim(request(), now));
@@ -71,7 +71,7 @@
     CHECK(rejection_of(ledger.check_or_claim(request(), now)).outcome == Outcome::NotRun);
 }
 
-TEST_CASE("giving up on a claim that has been read back settles it not-run at once")
+TEST_CASE("giving up a claim that was read back settles it as not run at once")
 {
     auto ledger = ledger_with_history(1);
     auto const claim = claim_of(ledger.check_or_claim(request(), now));
@@ -82,7 +82,7 @@
     CHECK_FALSE(ledger.try_send(claim));
 }
 
-TEST_CASE("the answer of a finished run is replayed, a long one is not made up")
+TEST_CASE("a kept answer is replayed; without one the outcome is unknown")
 {
     auto ledger = ledger_with_history(1);
     auto const claim = claim_of(ledger.check_or_claim(request(), now));
@@ -99,7 +99,7 @@
         == Fate::Rejection { Outcome::Unknown, Reason::AnswerNotKept });
 }
 
-TEST_CASE("a settlement by anyone but the holder changes nothing")
+TEST_CASE("a settlement by another claimant has no effect")
 {
     auto ledger = ledger_with_history(1);
     auto const claim = claim_of(ledger.check_or_claim(request(), now));
@@ -109,7 +109,7 @@
     CHECK(std::holds_alternative<Fate::HeldByOther>(ledger.current_verdict(claim.key)));
 }
 
-TEST_CASE("a key voided first never runs, and a claim after it has lost")
+TEST_CASE("a voided key never runs, and a later claim loses")
 {
     auto ledger = ledger_with_history(1);
     auto const claim = claim_of(ledger.check_or_claim(request(), now));
@@ -120,7 +120,7 @@
         rejection_of(ledger.check_or_claim(request(), now)) == Fate::Rejection { Outcome::NotRun, Reason::KeyVoided });
 }
 
-TEST_CASE("keys of the future, of long ago, of unread history and of another request are refused")
+TEST_CASE("keys from the future, too old, of unread history or of another request are rejected")
 {
     Fate::FateLedger ledger(Fate::Incarnation { 1 }, limits);
     constexpr std::int64_t day = 24LL * 3600 * 1000;
@@ -138,7 +138,7 @@
     CHECK(rejection_of(ledger.check_or_claim(request(1, now, 6), now)).reason == Reason::KeyReusedForOtherRequest);
 }
 
-TEST_CASE("an older stretch of the log read later still decides")
+TEST_CASE("an older part of the log decides even if it is read later")
 {
     auto ledger = ledger_with_history(1);
     Fate::Claim const older { { 0, 1 }, { Fate::Incarnation { 2 }, 1 }, 5 };
@@ -151,7 +151,7 @@
     CHECK(std::holds_alternative<Fate::Replay>(ledger.current_verdict(older.key)));
 }
 
-TEST_CASE("old keys are forgotten and then refused as too old, never claimed anew")
+TEST_CASE("expired keys are removed and then rejected as too old, never claimed again")
 {
     auto ledger = ledger_with_history(1);
     auto const claim = claim_of(ledger.check_or_claim(request(), now));
@@ -162,7 +162,7 @@
     CHECK(rejection_of(ledger.check_or_claim(request(), later)).reason == Reason::KeyTooOld);
 }
 
-TEST_CASE("kept answers stay inside their bound")
+TEST_CASE("the total size of kept answers is limited")
 {
     auto bounded = limits;
     bounded.max_kept_bytes = 25;
@@ -182,7 +182,7 @@
     CHECK(std::holds_alternative<Fate::Replay>(ledger.check_or_claim(request(5), now)));
 }
 
-TEST_CASE("over random histories of boxes, delays and restarts a key is sent at most once and not-run is true")
+TEST_CASE("with random delays and restarts, a key is sent at most once and never if reported as not run")
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         pcg32 random(seed);
@@ -234,7 +234,7 @@
                 break;
             default:
                 if (random(10) == 0) {
-                    // A restart: a new incarnation that reads the log from its start.
+                    // Restart: a new incarnation reads the log from the start.
                     boxes[box] = ledger_with_history(seed * 1000 + static_cast<std::uint64_t>(step));
                     read_to[box] = 0;
                     std::erase_if(waiting, [&](auto const& entry) { return entry.first == box; });
@@ -253,7 +253,7 @@
     }
 }
 
-TEST_CASE("only a UUIDv7 tells its time")
+TEST_CASE("only a UUIDv7 has a creation time")
 {
     CHECK(Fate::creation_time_of("018bcfe5-6800-7123-8abc-0123456789ab") == 1'700'000'000'000);
     for (auto const* bad : { "", "018bcfe5-6800-4123-8abc-0123456789ab", "018bcfe5-6800-7123-cabc-0123456789ab",
@@ -261,7 +261,7 @@
         CHECK_FALSE(Fate::creation_time_of(bad).has_value());
 }
 
-TEST_CASE("a batch comes back from its encoding as it was")
+TEST_CASE("an encoded batch decodes to the same value")
 {
     Fate::Claimant const claimant { Fate::Incarnation { 77 }, 3 };
     Fate::Batch const batch { now,
