--- a/Fuzz/FuzzSettings.cpp
+++ b/Fuzz/FuzzSettings.cpp
@@ -1,4 +1,4 @@
-/// Feeds the settings reader and the box file reader with whatever the fuzzer makes up.
+/// Fuzzes the settings reader and the box file reader.
 
 #include <LibServer/BoxSettings.h>
 #include <LibSettings/SettingsReader.h>
@@ -11,7 +11,7 @@
     std::string const text(reinterpret_cast<char const*>(data), size);
     std::vector<Settings::SettingsFault> faults;
     auto const settings = Settings::read_settings(text, faults);
-    // A document is taken without faults or refused with at least one.
+    // A document is either accepted without faults or rejected with at least one.
     if (settings.has_value() != faults.empty())
         std::abort();
     faults.clear();
--- a/Libraries/LibRecord/DecisionRing.h
+++ b/Libraries/LibRecord/DecisionRing.h
@@ -25,10 +25,10 @@
 
 [[nodiscard]] std::string_view to_string(DecisionKind kind);
 
-/// One decision on one request, with the figures it was taken on.
+/// One decision on one request, with its inputs.
 struct DecisionRecord {
     Core::RequestId request;
-    /// Milliseconds since 1970 on the box's wall clock.
+    /// Wall clock of the box, in milliseconds since 1970.
     std::int64_t at_milliseconds { 0 };
     DecisionKind kind { DecisionKind::Arrived };
     Core::Reason reason { Core::Reason::None };
@@ -41,11 +41,11 @@
     Traffic::DecisionInputs inputs;
 
     bool operator==(DecisionRecord const&) const = default;
-    /// One line that a person can read.
+    /// Formats the record as one human-readable line.
     [[nodiscard]] std::string to_sentence() const;
 };
 
-/// The latest decisions of a box, in a ring of bounded size. Safe to use from several threads.
+/// The latest decisions of a box, limited to `capacity` records. Thread-safe.
 class DecisionRing {
 public:
     explicit DecisionRing(std::size_t capacity)
@@ -55,7 +55,7 @@
 
     void add(DecisionRecord record);
     [[nodiscard]] std::vector<DecisionRecord> find(Core::RequestId request) const;
-    /// Records overwritten so far.
+    /// Number of records dropped so far to make room for newer ones.
     [[nodiscard]] std::uint64_t dropped() const;
 
 private:
