--- a/Libraries/LibSettings/DocumentCheck.cpp
+++ b/Libraries/LibSettings/DocumentCheck.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t max_nesting = 64;
 
-/// Follows the parser's events, since the loaded tree no longer shows duplicate keys.
+/// Uses the parser's events, because the loaded tree no longer contains duplicate keys.
 class DuplicateKeyFinder final : public YAML::EventHandler {
 public:
     explicit DuplicateKeyFinder(std::vector<SettingsFault>& found)
--- a/Libraries/LibSettings/DocumentCheck.h
+++ b/Libraries/LibSettings/DocumentCheck.h
@@ -7,8 +7,8 @@
 
 namespace Settings {
 
-/// Refuses what the YAML library lets pass: duplicate keys, too many aliases, excess depth or size.
-/// Nothing is appended to `faults` when the text is fit to be loaded.
+/// Rejects what the YAML library accepts: duplicate keys, too many aliases, excessive depth or size.
+/// Appends nothing to `faults` if the text can be loaded.
 void check_document_text(std::string const& text, std::vector<SettingsFault>& faults);
 
 }
--- a/Libraries/LibSettings/SettingsHistory.h
+++ b/Libraries/LibSettings/SettingsHistory.h
@@ -10,11 +10,11 @@
 
 namespace Settings {
 
-/// A record of the settings stream: a document and the version it was made from (0 for none).
+/// A record of the settings stream: a document and the version it is based on (0 for none).
 struct Publication {
     Core::Offset base;
     std::string author;
-    /// Random text by which a publisher knows its own record again.
+    /// Random text that lets a publisher recognize its own record.
     std::string nonce;
     std::string document;
 
@@ -26,14 +26,14 @@
 
 enum class PublicationVerdict {
     Accepted,
-    /// Made from a version that is not the current one: another operator was first.
+    /// Based on a version that is no longer current: another operator published first.
     StaleBase,
     Faulty,
-    /// At or before an offset that was applied already.
+    /// At or before an offset that was already applied.
     AlreadyApplied,
 };
 
-/// The settings in force, computed from the stream alone, so that every box comes to the same version.
+/// The settings in force. Computed from the stream alone, so that all boxes arrive at the same version.
 ///
 /// The version is the offset of the accepted record plus one, so that 0 can mean none. It only grows.
 class SettingsHistory {
--- a/Libraries/LibSettings/SettingsReader.cpp
+++ b/Libraries/LibSettings/SettingsReader.cpp
@@ -34,7 +34,7 @@
 
 namespace {
 
-/// Why a value was refused; empty when it was taken.
+/// Why a value is invalid; empty if it is valid.
 using ValueError = std::string;
 
 constexpr double max_floor = 0.5;
@@ -395,7 +395,7 @@
     check_document_text(text, faults);
     if (faults.size() != fault_count_before)
         return {};
-    // NOTE: The YAML library throws on some nodes that are not there or of another kind; that is a bad document.
+    // NOTE: The YAML library throws for some missing nodes and nodes of the wrong type; the document is then invalid.
     try {
         return read_document(YAML::Load(text), faults);
     } catch (YAML::Exception const& exception) {
--- a/Libraries/LibSettings/SettingsReader.h
+++ b/Libraries/LibSettings/SettingsReader.h
@@ -8,7 +8,7 @@
 inline constexpr std::size_t max_document_bytes = 4U << 20U;
 inline constexpr std::size_t max_aliases = 64;
 
-/// A checked document with the trees it came from.
+/// A valid document and the trees it was resolved from.
 struct CheckedSettings {
     SettingsDocument document;
     SettingsTree classes;
@@ -16,7 +16,7 @@
     SettingsTree endpoints;
 };
 
-/// Reads and checks a document. Returns nothing and at least one fault when anything is wrong with it.
+/// Parses and validates a document. Returns nothing and appends at least one fault if it is invalid.
 [[nodiscard]] std::optional<CheckedSettings> read_settings(std::string const& text, std::vector<SettingsFault>& faults);
 
 }
