--- a/Libraries/LibSettings/Settings.h
+++ b/Libraries/LibSettings/Settings.h
@@ -22,7 +22,7 @@
     Service,
 };
 
-/// Which policy decides order, admission and placement. The baselines exist to be measured against.
+/// Policy for order, admission and placement. The baselines exist for comparison.
 enum class PolicyName {
     Cleatbeam,
     RoundRobinFifo,
@@ -38,11 +38,11 @@
     Core::TierId tier;
     Core::Duration target { 0 };
     TargetKind target_kind { TargetKind::FirstToken };
-    /// Longest wait of a caller, from arrival to the end of the answer.
+    /// Longest time that the client waits, from arrival to the end of the answer.
     Core::Duration patience { 0 };
-    /// Share of a pool's work, 0 to 0.5, that this class gets whenever it has work waiting.
+    /// Share of a pool's work, 0 to 0.5, that this class gets whenever it has requests queued.
     double floor { 0 };
-    /// Whether an answer after the target is still worth something to the caller.
+    /// Whether an answer after the target is still useful to the client.
     bool late_answer_useful { true };
     bool repeatable { true };
 
@@ -69,12 +69,12 @@
     std::string host;
     int port { 0 };
     std::string failure_domain;
-    /// Requests it serves at once before it queues, until it reports otherwise.
+    /// Concurrent requests before the endpoint queues, until it reports another number.
     int slots { 1 };
     std::vector<std::string> models;
     /// Paths of a plain service that go to this endpoint, as prefixes.
     std::vector<std::string> path_prefixes;
-    /// Whether it runs a key at most once by itself.
+    /// Whether the endpoint itself runs each key at most once.
     bool checks_keys { false };
 
     bool operator==(EndpointSettings const&) const = default;
--- a/Libraries/LibSettings/SettingsTree.h
+++ b/Libraries/LibSettings/SettingsTree.h
@@ -13,7 +13,7 @@
 
 namespace Settings {
 
-/// A fault found in a settings document. Lines count from 1; 0 when the parser knows none.
+/// A fault found in a settings document. Lines start at 1; 0 if the line is unknown.
 struct SettingsFault {
     std::string path;
     int line { 0 };
@@ -62,7 +62,7 @@
         YAML::Node const& node, std::string const& name, std::vector<SettingsFault>& faults);
 
     [[nodiscard]] std::vector<Branch> const& branches() const { return this->all_branches; }
-    /// The leaf called `name`, or nothing.
+    /// Index of the leaf named `name`, or nothing.
     [[nodiscard]] std::optional<std::size_t> find_leaf(std::string_view name) const;
     /// All values in force at a branch, each with the path it was inherited from.
     [[nodiscard]] std::map<std::string, InheritedValue> resolve(std::size_t branch) const;
