--- a/Libraries/LibRouting/EndpointLoad.cpp
+++ b/Libraries/LibRouting/EndpointLoad.cpp
@@ -29,13 +29,13 @@
 
 void EndpointLoad::succeeded()
 {
-    this->health.succeeded();
+    this->health.record_success();
     this->turned_away /= 2;
 }
 
 void EndpointLoad::failed(Instant now)
 {
-    this->health.failed(now);
+    this->health.record_failure(now);
     this->failures.add(1, now);
 }
 
@@ -53,7 +53,7 @@
 
 bool EndpointLoad::takes_work(Instant now) const
 {
-    return now >= this->full_until && this->health.takes_work(now, static_cast<int>(this->own.size()));
+    return now >= this->full_until && this->health.accepts_work(now, static_cast<int>(this->own.size()));
 }
 
 void EndpointLoad::take_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at)
