--- a/Libraries/LibFate/FateTypes.cpp
+++ b/Libraries/LibFate/FateTypes.cpp
@@ -11,12 +11,12 @@
 
 namespace wire = cleatbeam::fate;
 
-Claimant claimant_from(wire::Claimant const& message)
+Claimant read_claimant(wire::Claimant const& message)
 {
     return { Incarnation { message.incarnation() }, message.sequence() };
 }
 
-void put_claimant(Claimant const& claimant, wire::Claimant& message)
+void write_claimant(Claimant const& claimant, wire::Claimant& message)
 {
     message.set_incarnation(claimant.incarnation.value());
     message.set_sequence(claimant.sequence);
@@ -42,31 +42,31 @@
     return result == wire::RESULT_COMPLETED ? Result::Completed : Result::Unknown;
 }
 
-/// Writes each kind of record into its message.
+/// Writes a record of any kind into a protobuf message.
 struct RecordWriter {
     wire::Record& message;
 
-    void put_key(Key const& key) const
+    void write_key(Key const& key) const
     {
         this->message.set_key_high(key.high);
         this->message.set_key_low(key.low);
     }
     void operator()(Claim const& claim) const
     {
-        this->put_key(claim.key);
-        put_claimant(claim.claimant, *this->message.mutable_claim()->mutable_claimant());
+        this->write_key(claim.key);
+        write_claimant(claim.claimant, *this->message.mutable_claim()->mutable_claimant());
         this->message.mutable_claim()->set_fingerprint(claim.fingerprint);
     }
-    void operator()(Void const& voiding) const
+    void operator()(Void const& void_record) const
     {
-        this->put_key(voiding.key);
+        this->write_key(void_record.key);
         this->message.mutable_void_();
     }
     void operator()(Settled const& settled) const
     {
-        this->put_key(settled.key);
+        this->write_key(settled.key);
         auto& target = *this->message.mutable_settled();
-        put_claimant(settled.claimant, *target.mutable_claimant());
+        write_claimant(settled.claimant, *target.mutable_claimant());
         target.set_result(to_wire(settled.result));
         target.set_status(settled.status);
         target.set_content_type(settled.content_type);
@@ -79,13 +79,13 @@
 {
     Key const key { message.key_high(), message.key_low() };
     if (message.has_claim())
-        return Claim { key, claimant_from(message.claim().claimant()), message.claim().fingerprint() };
+        return Claim { key, read_claimant(message.claim().claimant()), message.claim().fingerprint() };
     if (message.has_void_())
         return Void { key };
     if (!message.has_settled())
         return {};
     auto const& settled = message.settled();
-    return Settled { key, claimant_from(settled.claimant()), from_wire(settled.result()), settled.status(),
+    return Settled { key, read_claimant(settled.claimant()), from_wire(settled.result()), settled.status(),
         settled.content_type(), settled.body(), settled.body_kept() };
 }
 
@@ -93,7 +93,7 @@
 
 Key Key::create(std::string const& account, std::string const& idempotency_key)
 {
-    // NOTE: Names hold no NUL, so no account can make up another's key.
+    // NOTE: Account names contain no NUL, so no account can construct the key of another.
     auto const text = account + '\0' + idempotency_key;
     auto const hash = XXH3_128bits(text.data(), text.size());
     return { hash.high64, hash.low64 };
@@ -115,7 +115,7 @@
         return {};
     Batch batch { message.at_milliseconds(), {} };
     for (auto const& record : message.records()) {
-        // NOTE: A kind of record that a later version added is passed over.
+        // NOTE: Record kinds added by later versions are skipped.
         if (auto read = read_record(record))
             batch.records.push_back(std::move(*read));
     }
--- a/Libraries/LibRouting/EndpointLoad.cpp
+++ b/Libraries/LibRouting/EndpointLoad.cpp
@@ -29,13 +29,13 @@
 
 void EndpointLoad::succeeded()
 {
-    this->health.succeeded();
+    this->health.record_success();
     this->shed_count /= 2;
 }
 
 void EndpointLoad::failed(Instant now)
 {
-    this->health.failed(now);
+    this->health.record_failure(now);
     this->failures.add(1, now);
 }
 
@@ -53,7 +53,7 @@
 
 bool EndpointLoad::takes_work(Instant now) const
 {
-    return now >= this->full_until && this->health.takes_work(now, static_cast<int>(this->own_requests.size()));
+    return now >= this->full_until && this->health.accepts_work(now, static_cast<int>(this->own_requests.size()));
 }
 
 void EndpointLoad::apply_peer(std::uint64_t box, Duration backlog, unsigned running, Instant at)
--- a/Libraries/LibSettings/SettingsTree.h
+++ b/Libraries/LibSettings/SettingsTree.h
@@ -13,7 +13,7 @@
 
 namespace Settings {
 
-/// A fault found in a settings document. Lines count from 1; 0 when the parser knows none.
+/// A fault found in a settings document. Lines start at 1; 0 if the line is unknown.
 struct SettingsFault {
     std::string path;
     int line { 0 };
@@ -38,7 +38,7 @@
 /// A value together with the branch that set it.
 struct InheritedValue {
     SettingValue value;
-    std::string set_at;
+    std::string source_path;
 
     bool operator==(InheritedValue const&) const = default;
 };
@@ -55,14 +55,14 @@
         std::map<std::string, SettingValue> own_values;
     };
 
-    static constexpr std::size_t deepest_branch = 16;
+    static constexpr std::size_t max_branch_depth = 16;
 
     /// Reads the tree below `node`; faults are appended and the faulty part is left out.
     [[nodiscard]] static SettingsTree create(
         YAML::Node const& node, std::string const& name, std::vector<SettingsFault>& faults);
 
     [[nodiscard]] std::vector<Branch> const& branches() const { return this->all_branches; }
-    /// The leaf called `name`, or nothing.
+    /// Index of the leaf named `name`, or nothing.
     [[nodiscard]] std::optional<std::size_t> find_leaf(std::string_view name) const;
     /// All values in force at a branch, each with the path it was inherited from.
     [[nodiscard]] std::map<std::string, InheritedValue> resolve(std::size_t branch) const;
--- a/Tests/LibGateway/TestSuspension.cpp
+++ b/Tests/LibGateway/TestSuspension.cpp
@@ -1,7 +1,7 @@
 #include <TestMain.h>
 
 #include "ScriptedExchange.h"
-#include <LibCore/SuspensionMeter.h>
+#include <LibCore/SuspensionDetector.h>
 
 /// Guards against a box that was suspended for seconds and then serves a revoked key or an outdated route. The first
 /// event after the box resumes may be a request. A clock that doesn't count the suspension makes the configuration look
@@ -34,22 +34,22 @@
 TEST_CASE("the clock for ages counts suspensions, and the clock for awake time doesn't")
 {
     auto const now = Core::monotonic_now();
-    auto const awake = Core::awake_now();
-    Core::SuspensionMeter meter(now, awake);
-    Core::suspend_for_tests(seconds(8));
+    auto const awake = Core::now_without_suspension();
+    Core::SuspensionDetector meter(now, awake);
+    Core::simulate_suspension(seconds(8));
     CHECK(Core::monotonic_now() - now >= seconds(8));
-    CHECK(Core::awake_now() - awake < seconds(8));
-    auto const length = meter.observe(Core::monotonic_now(), Core::awake_now());
+    CHECK(Core::now_without_suspension() - awake < seconds(8));
+    auto const length = meter.observe(Core::monotonic_now(), Core::now_without_suspension());
     REQUIRE(length);
     CHECK(*length > seconds(7));
     CHECK(*length < seconds(9));
-    CHECK_FALSE(meter.observe(Core::monotonic_now(), Core::awake_now()));
+    CHECK_FALSE(meter.observe(Core::monotonic_now(), Core::now_without_suspension()));
 }
 
 TEST_CASE("a pause between the readings of the two clocks doesn't hide the next suspension")
 {
     auto const start = Core::Instant { seconds(100) };
-    Core::SuspensionMeter meter(start, start);
+    Core::SuspensionDetector meter(start, start);
     // The process stood still for 5 s after the first reading, and again after the second, without a suspension.
     CHECK_FALSE(meter.observe(start, start + seconds(5)));
     CHECK(meter.observe(start + seconds(5), start + seconds(5)));
@@ -79,7 +79,7 @@
     {
         length = seconds(60);
     }
-    Core::suspend_for_tests(length);
+    Core::simulate_suspension(length);
     request.start("body");
     if (length < bounds.apply_within) {
         request.endpoints[request.arrival()]->answer(whole_answer);
@@ -99,7 +99,7 @@
     request.use_accounts(settings());
     connect_suspension_handler(request);
     // Within the bound for revoked keys, so only the suspension makes the box refuse requests.
-    Core::suspend_for_tests(seconds(3));
+    Core::simulate_suspension(seconds(3));
     request.state.notice_suspension();
     CHECK(request.state.router.configuration_freshness(Core::monotonic_now())
         == Routing::ConfigurationFreshness::Expired);
@@ -117,7 +117,7 @@
     request.start("body");
     static_cast<void>(request.arrival());
     // Longer than the client's timeout of 30 s.
-    Core::suspend_for_tests(seconds(31));
+    Core::simulate_suspension(seconds(31));
     request.state.notice_suspension();
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 504 "));
@@ -130,7 +130,7 @@
     connect_suspension_handler(request);
     request.start("body");
     request.endpoints[request.arrival()]->answer(whole_answer);
-    Core::suspend_for_tests(seconds(8));
+    Core::simulate_suspension(seconds(8));
     request.state.notice_suspension();
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
