--- a/Benchmarks/BenchConfiguration.cpp
+++ b/Benchmarks/BenchConfiguration.cpp
@@ -14,7 +14,7 @@
 
 // What the heap holds for the program, with the allocator's rounding; one thread only.
 std::size_t bytes_held { 0 };
-std::size_t most_bytes_held { 0 };
+std::size_t peak_bytes_held { 0 };
 std::size_t allocations { 0 };
 
 }
@@ -27,7 +27,7 @@
         throw std::bad_alloc();
     ++allocations;
     bytes_held += malloc_usable_size(memory);
-    most_bytes_held = std::max(most_bytes_held, bytes_held);
+    peak_bytes_held = std::max(peak_bytes_held, bytes_held);
     return memory;
 }
 void operator delete(void* memory) noexcept
@@ -47,9 +47,9 @@
 {
     auto const held_before = bytes_held;
     auto const allocations_before = allocations;
-    most_bytes_held = bytes_held;
+    peak_bytes_held = bytes_held;
     auto const result = work();
-    state.counters["peak_bytes"] = static_cast<double>(most_bytes_held - held_before);
+    state.counters["peak_bytes"] = static_cast<double>(peak_bytes_held - held_before);
     state.counters["kept_bytes"] = static_cast<double>(bytes_held - held_before);
     state.counters["allocations"] = static_cast<double>(allocations - allocations_before);
 }
--- a/Libraries/LibGateway/Asio.cpp
+++ b/Libraries/LibGateway/Asio.cpp
@@ -4,7 +4,7 @@
 
 namespace Gateway {
 
-std::optional<tcp::endpoint> to_socket_address(Routing::SocketAddress const& address)
+std::optional<tcp::endpoint> to_tcp_endpoint(Routing::SocketAddress const& address)
 {
     error_code error;
     auto const numeric = asio::ip::make_address(address.host, error);
@@ -16,7 +16,7 @@
 std::optional<tcp::acceptor> listen_on(
     asio::io_context& context, Routing::SocketAddress const& address, Core::LastReason& last_reason)
 {
-    auto const place = to_socket_address(address);
+    auto const place = to_tcp_endpoint(address);
     if (!place) {
         last_reason.text = "not a numeric address: " + address.host;
         return {};
@@ -39,10 +39,10 @@
 Task<void> close_after_answer(std::shared_ptr<tcp::socket> socket)
 {
     // Longer than a round trip to clients; a client that goes on sending is cut off then.
-    constexpr auto longest_wait = std::chrono::milliseconds(500);
+    constexpr auto max_wait = std::chrono::milliseconds(500);
     error_code ignored;
     socket->shutdown(tcp::socket::shutdown_send, ignored);
-    asio::steady_timer timer(socket->get_executor(), longest_wait);
+    asio::steady_timer timer(socket->get_executor(), max_wait);
     timer.async_wait([socket](error_code cancelled) {
         error_code ignored;
         if (!cancelled)
--- a/Libraries/LibGateway/Asio.h
+++ b/Libraries/LibGateway/Asio.h
@@ -44,9 +44,9 @@
 }
 
 /// A wait that can be ended early. One task waits at a time.
-class Pause {
+class InterruptibleTimer {
 public:
-    explicit Pause(asio::io_context& context)
+    explicit InterruptibleTimer(asio::io_context& context)
         : timer(context)
     {
     }
@@ -57,14 +57,14 @@
         // NOTE: Passed or ended early, whoever waits looks at what is true now.
         co_await this->timer.async_wait(as_value);
     }
-    void end() { this->timer.cancel(); }
+    void interrupt() { this->timer.cancel(); }
 
 private:
     asio::steady_timer timer;
 };
 
 /// The address as the sockets take it; nothing if it is not a numeric one.
-[[nodiscard]] std::optional<tcp::endpoint> to_socket_address(Routing::SocketAddress const& address);
+[[nodiscard]] std::optional<tcp::endpoint> to_tcp_endpoint(Routing::SocketAddress const& address);
 
 /// Opens an acceptor that listens; nothing, with a reason, where that fails.
 [[nodiscard]] std::optional<tcp::acceptor> listen_on(
--- a/Libraries/LibGateway/BoxRegistry.cpp
+++ b/Libraries/LibGateway/BoxRegistry.cpp
@@ -57,7 +57,7 @@
 void BoxRegistry::keep(Adapter::KeyedRecord record)
 {
     this->kept.push_back(std::move(record));
-    this->pause.end();
+    this->pause.interrupt();
 }
 
 Task<void> BoxRegistry::write_kept(Core::Instant until)
@@ -83,7 +83,7 @@
 void BoxRegistry::store_restored()
 {
     this->has_to_read = true;
-    this->pause.end();
+    this->pause.interrupt();
 }
 
 void BoxRegistry::keep_what_is_missing(std::set<std::string> const& listed)
--- a/Libraries/LibGateway/BoxRegistry.h
+++ b/Libraries/LibGateway/BoxRegistry.h
@@ -87,7 +87,7 @@
     /// Records of this process, beside its own, that the store has taken.
     std::map<std::string, std::string> written;
     bool has_to_read { false };
-    Pause pause;
+    InterruptibleTimer pause;
     pcg32 random;
 };
 
--- a/Libraries/LibGateway/CallWatch.cpp
+++ b/Libraries/LibGateway/CallWatchdog.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CallWatch.h>
+#include <LibGateway/CallWatchdog.h>
 
 #include <algorithm>
 
@@ -6,38 +6,38 @@
 
 using Core::monotonic_now;
 
-CallWatch::CallWatch(asio::io_context& context, CallTimeouts timeouts, OnTimeout on_timeout)
+CallWatchdog::CallWatchdog(asio::io_context& context, CallTimeouts timeouts, OnTimeout on_timeout)
     : timer(context)
     , timeouts(timeouts)
     , on_timeout(std::move(on_timeout))
     , started(monotonic_now())
-    , ends_at(this->started + timeouts.first_byte)
+    , expires_at(this->started + timeouts.first_byte)
 {
 }
 
-void CallWatch::start()
+void CallWatchdog::start()
 {
     this->arm();
 }
 
-void CallWatch::progressed()
+void CallWatchdog::on_progress()
 {
-    auto const previous
-        = std::exchange(this->ends_at, std::min(monotonic_now() + this->timeouts.idle, this->started + longest_call));
+    auto const previous = std::exchange(
+        this->expires_at, std::min(monotonic_now() + this->timeouts.idle, this->started + max_call_duration));
     // NOTE: A later end is seen when the timer ends, which costs less than a new timer for each piece.
-    if (this->ends_at < previous)
+    if (this->expires_at < previous)
         this->arm();
 }
 
-void CallWatch::finish()
+void CallWatchdog::finish()
 {
     this->is_over = true;
     this->timer.cancel();
 }
 
-void CallWatch::arm()
+void CallWatchdog::arm()
 {
-    this->timer.expires_after(this->ends_at - monotonic_now());
+    this->timer.expires_after(this->expires_at - monotonic_now());
     // NOTE: The handler may still be queued when the call is over and its connection is gone.
     this->timer.async_wait([self = this->shared_from_this()](error_code cancelled) {
         if (!cancelled && !self->is_over)
@@ -45,9 +45,9 @@
     });
 }
 
-void CallWatch::timer_ended()
+void CallWatchdog::timer_ended()
 {
-    if (monotonic_now() < this->ends_at)
+    if (monotonic_now() < this->expires_at)
         return this->arm();
     this->timed_out = true;
     this->on_timeout();
--- a/Libraries/LibGateway/CallWatch.h
+++ b/Libraries/LibGateway/CallWatchdog.h
@@ -19,20 +19,20 @@
 };
 
 /// Ends one call that makes no progress.
-class CallWatch : public std::enable_shared_from_this<CallWatch> {
+class CallWatchdog : public std::enable_shared_from_this<CallWatchdog> {
 public:
     /// Ends the call under way.
     using OnTimeout = std::function<void()>;
 
-    CallWatch(asio::io_context& context, CallTimeouts timeouts, OnTimeout on_timeout);
+    CallWatchdog(asio::io_context& context, CallTimeouts timeouts, OnTimeout on_timeout);
 
     void start();
     /// A piece of the answer came.
-    void progressed();
+    void on_progress();
     /// The call is over, and nothing is done to it any more.
     void finish();
     [[nodiscard]] bool has_timed_out() const { return this->timed_out; }
-    [[nodiscard]] Core::Duration taken() const { return Core::monotonic_now() - this->started; }
+    [[nodiscard]] Core::Duration elapsed() const { return Core::monotonic_now() - this->started; }
 
 private:
     void arm();
@@ -40,13 +40,13 @@
 
     /// Ends an answer that comes by drops: twice the time in which 16 MB, the largest answer, cross a link of 10
     /// Mbit/s.
-    static constexpr Core::Duration longest_call { std::chrono::seconds(27) };
+    static constexpr Core::Duration max_call_duration { std::chrono::seconds(27) };
 
     asio::steady_timer timer;
     CallTimeouts timeouts;
     OnTimeout on_timeout;
     Core::Instant started;
-    Core::Instant ends_at;
+    Core::Instant expires_at;
     bool is_over { false };
     bool timed_out { false };
 };
--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/ClientConnection.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CallerConnection.h>
+#include <LibGateway/ClientConnection.h>
 
 #include <LibGateway/HttpStatus.h>
 #include <LibLog/EventLog.h>
@@ -30,11 +30,11 @@
 }
 
 /// A request line and a few short headers; anything longer gets more room as it comes.
-constexpr std::size_t usual_head_bytes = 1024;
+constexpr std::size_t typical_head_bytes = 1024;
 
 }
 
-CallerConnection::CallerConnection(GatewayState& state, tcp::socket socket)
+ClientConnection::ClientConnection(GatewayState& state, tcp::socket socket)
     : state(state)
     , socket(std::move(socket))
     , guard(state.context)
@@ -42,12 +42,12 @@
     ++this->state.clients;
 }
 
-CallerConnection::~CallerConnection()
+ClientConnection::~ClientConnection()
 {
     --this->state.clients;
 }
 
-Task<void> CallerConnection::run()
+Task<void> ClientConnection::run()
 {
     auto const self = this->shared_from_this();
     bool is_open = true;
@@ -71,7 +71,7 @@
     this->socket.close(ignored);
 }
 
-Task<bool> CallerConnection::wait_for_request()
+Task<bool> ClientConnection::wait_for_request()
 {
     if (this->buffer.size() > 0)
         co_return true;
@@ -82,7 +82,7 @@
     co_return !error && !this->guard_fired;
 }
 
-Task<bool> CallerConnection::read_request(Parser& parser)
+Task<bool> ClientConnection::read_request(Parser& parser)
 {
     auto const error = co_await this->read_head_and_body(parser);
     this->disarm_guard();
@@ -99,10 +99,10 @@
     co_return false;
 }
 
-Task<error_code> CallerConnection::read_head_and_body(Parser& parser)
+Task<error_code> ClientConnection::read_head_and_body(Parser& parser)
 {
     this->arm_guard(this->limits().header_timeout);
-    this->buffer.reserve(usual_head_bytes);
+    this->buffer.reserve(typical_head_bytes);
     auto const [head_error, head_bytes]
         = co_await http::async_read_header(this->socket, this->buffer, parser, as_value);
     if (head_error)
@@ -124,31 +124,31 @@
     co_return error_code {};
 }
 
-Task<bool> CallerConnection::serve_request(Parser& parser)
+Task<bool> ClientConnection::serve_request(Parser& parser)
 {
     auto request = parser.release();
     auto const body_bytes = request.body().size();
     bool const keeps_connection = request.keep_alive();
-    if (this->state.body_bytes + body_bytes > this->state.most_body_bytes) {
+    if (this->state.body_bytes + body_bytes > this->state.max_held_body_bytes) {
         co_await this->answer_bad_request(status_unavailable, Reason::MemoryLimit, "too many bodies held");
         co_return false;
     }
     this->state.body_bytes += body_bytes;
     ++this->state.requests;
-    ++this->turn;
+    ++this->request_number;
     auto const served = std::make_shared<RequestExchange>(
         this->state, std::move(request), ClientSide { this->shared_socket(), keeps_connection });
     this->exchange = served;
     this->watch_for_close();
     bool const is_open = co_await served->run();
     this->exchange.reset();
-    ++this->turn;
+    ++this->request_number;
     --this->state.requests;
     this->state.body_bytes -= body_bytes;
     co_return is_open;
 }
 
-Task<void> CallerConnection::answer_bad_request(unsigned status, Reason reason, std::string_view detail)
+Task<void> ClientConnection::answer_bad_request(unsigned status, Reason reason, std::string_view detail)
 {
     this->state.metrics.count_refusal(reason);
     Log::EventLine("request_unreadable")
@@ -156,19 +156,19 @@
         .with("reason", Core::to_string(reason))
         .with("detail", detail)
         .info();
-    auto const bytes = Adapter::encode_own_answer({ status, "", reason, {}, false, false });
+    auto const bytes = Adapter::encode_local_answer({ status, "", reason, {}, false, false });
     auto const [error, written] = co_await asio::async_write(this->socket, asio::buffer(bytes), as_value);
     if (!error)
         co_await close_after_answer(this->shared_socket());
 }
 
-void CallerConnection::watch_for_close()
+void ClientConnection::watch_for_close()
 {
     this->socket.async_wait(
-        tcp::socket::wait_read, [weak = this->weak_from_this(), watched = this->turn](error_code error) {
+        tcp::socket::wait_read, [weak = this->weak_from_this(), armed_for = this->request_number](error_code error) {
             auto const self = weak.lock();
             auto const served = self ? self->exchange.lock() : nullptr;
-            if (error || !served || self->turn != watched)
+            if (error || !served || self->request_number != armed_for)
                 return;
             error_code ignored;
             // NOTE: Readable without bytes is the end of the connection; bytes are the client's next request.
@@ -177,13 +177,13 @@
         });
 }
 
-void CallerConnection::arm_guard(Core::Duration timeout)
+void ClientConnection::arm_guard(Core::Duration timeout)
 {
     this->guard_fired = false;
     this->guard.expires_after(timeout);
-    this->guard.async_wait([weak = this->weak_from_this(), watched = ++this->guard_turn](error_code cancelled) {
+    this->guard.async_wait([weak = this->weak_from_this(), armed_for = ++this->guard_generation](error_code cancelled) {
         auto const self = weak.lock();
-        if (cancelled || !self || self->guard_turn != watched)
+        if (cancelled || !self || self->guard_generation != armed_for)
             return;
         self->guard_fired = true;
         error_code ignored;
@@ -191,19 +191,19 @@
     });
 }
 
-void CallerConnection::disarm_guard()
+void ClientConnection::disarm_guard()
 {
-    ++this->guard_turn;
+    ++this->guard_generation;
     this->guard.cancel();
 }
 
-bool CallerConnection::woke()
+bool ClientConnection::after_suspension()
 {
     auto const served = this->exchange.lock();
-    return served && served->woke();
+    return served && served->after_suspension();
 }
 
-void CallerConnection::close_if_idle()
+void ClientConnection::close_if_idle()
 {
     if (this->is_busy || this->buffer.size() > 0)
         return;
@@ -214,12 +214,12 @@
     this->socket.close(error);
 }
 
-std::shared_ptr<tcp::socket> CallerConnection::shared_socket()
+std::shared_ptr<tcp::socket> ClientConnection::shared_socket()
 {
     return { this->shared_from_this(), &this->socket };
 }
 
-Routing::ClientLimits CallerConnection::limits() const
+Routing::ClientLimits ClientConnection::limits() const
 {
     auto const configuration = this->state.router.configuration();
     return configuration ? configuration->configuration().limits : Routing::ClientLimits {};
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/ClientConnection.h
@@ -5,17 +5,17 @@
 namespace Gateway {
 
 /// One client's connection: reads requests one after the other and has each served.
-class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
+class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
-    CallerConnection(GatewayState& state, tcp::socket socket);
-    ~CallerConnection();
-    CallerConnection(CallerConnection const&) = delete;
-    CallerConnection& operator=(CallerConnection const&) = delete;
+    ClientConnection(GatewayState& state, tcp::socket socket);
+    ~ClientConnection();
+    ClientConnection(ClientConnection const&) = delete;
+    ClientConnection& operator=(ClientConnection const&) = delete;
 
     /// Serves the connection until it ends.
     [[nodiscard]] Task<void> run();
     /// As RequestExchange::woke, for the request under way.
-    [[nodiscard]] bool woke();
+    [[nodiscard]] bool after_suspension();
     /// Closes it if no request is under way.
     void close_if_idle();
 
@@ -39,14 +39,14 @@
     flat_buffer buffer;
     asio::steady_timer guard;
     /// Changes when the guard is set anew or is over, since a handler that is queued then can't be cancelled.
-    std::uint64_t guard_turn { 0 };
+    std::uint64_t guard_generation { 0 };
     bool guard_fired { false };
     /// From the first byte of a request until its answer is sent.
     bool is_busy { false };
     /// The request being served. The task that serves it owns it: it holds this connection in turn.
     std::weak_ptr<RequestExchange> exchange;
     /// Counts requests, so that a watch set for an earlier one knows that it is over.
-    std::uint64_t turn { 0 };
+    std::uint64_t request_number { 0 };
 };
 
 }
--- a/Libraries/LibGateway/ControlPlane.cpp
+++ b/Libraries/LibGateway/ControlPlane.cpp
@@ -37,7 +37,7 @@
           [this] { this->operator_follower.read_now(); })
     , box_name(environment.box_name)
     , failure_domain(environment.failure_domain)
-    , ports(environment.boxes)
+    , ports(environment.peer_ports)
     , store(environment.store)
     , link_bytes_per_second(environment.link_bytes_per_second)
     , seed(seed)
@@ -103,7 +103,7 @@
     this->registry.emplace(
         this->state, this->source, this->store, own, [this] { this->take_boxes(); }, this->seed);
     this->connect_crash_news();
-    this->state.endpoint_news.set_way(
+    this->state.endpoint_notice_exchange.set_way(
         [this](std::string const& bytes, std::size_t boxes) { this->loads->send(bytes, boxes); });
     this->open_leadership(own);
     return true;
@@ -158,7 +158,7 @@
     /// A request that is refused is told on to so many boxes a second by each that knows it, so that a box that missed
     /// the news knows within a second or two, however many there are.
     constexpr std::size_t some_boxes = 3;
-    this->state.crash_news.set_ways(
+    this->state.crash_exchange.set_ways(
         [this](std::string const& bytes, CrashNews::Audience audience) {
             auto const all = this->source.boxes().size();
             this->loads->send(bytes, audience == CrashNews::Audience::AllBoxes ? all : some_boxes);
@@ -166,15 +166,16 @@
         [this](std::string const& key, std::optional<std::string> value) {
             this->registry->keep({ key, std::move(value) });
         });
-    this->registry->set_on_other(
-        [this](std::string const& key, std::string const& value) { this->state.crash_news.take_stored(key, value); });
+    this->registry->set_on_other([this](std::string const& key, std::string const& value) {
+        this->state.crash_exchange.take_stored(key, value);
+    });
 }
 
 bool ControlPlane::take_crash_news(std::string_view bytes)
 {
     auto const message = Membership::decode_crashes(bytes);
     if (message)
-        this->state.crash_news.hear(*message);
+        this->state.crash_exchange.hear(*message);
     return message.has_value();
 }
 
@@ -183,7 +184,7 @@
     auto const message = Membership::decode_endpoint_news(bytes, monotonic_now());
     if (!message)
         return false;
-    this->state.endpoint_news.hear(
+    this->state.endpoint_notice_exchange.hear(
         *message, [this, &from](std::string const& answer) { this->loads->send_to_address(from, answer); });
     // NOTE: Behind what it asked for, since it ends the asker's wait.
     if (message->asks)
@@ -204,7 +205,7 @@
 
 Task<void> ControlPlane::ask_others()
 {
-    this->state.endpoint_news.ask();
+    this->state.endpoint_notice_exchange.ask();
     if (this->source.boxes().size() > 1)
         co_await sleep_for(longest_wait_for_others);
     this->state.awaits_other_boxes = false;
@@ -225,8 +226,8 @@
     asio::co_spawn(context, this->relay_follower.run(), asio::detached);
     asio::co_spawn(context, this->loads->tell(), asio::detached);
     asio::co_spawn(context, this->loads->hear(), asio::detached);
-    asio::co_spawn(context, this->state.crash_news.run(), asio::detached);
-    asio::co_spawn(context, this->state.endpoint_news.run(), asio::detached);
+    asio::co_spawn(context, this->state.crash_exchange.run(), asio::detached);
+    asio::co_spawn(context, this->state.endpoint_notice_exchange.run(), asio::detached);
     if (!this->leadership)
         return;
     asio::co_spawn(context, this->leadership->stand(), asio::detached);
@@ -265,7 +266,7 @@
         this->leadership->woke(now);
 }
 
-ProbeAnswer ControlPlane::answer_box(std::string_view path, std::string const& body)
+InternalHttpResponse ControlPlane::answer_box(std::string_view path, std::string const& body)
 {
     if (path != control_path)
         return { status_not_found, "" };
--- a/Libraries/LibGateway/ControlPlane.h
+++ b/Libraries/LibGateway/ControlPlane.h
@@ -2,8 +2,8 @@
 
 #include <LibGateway/BoxRegistry.h>
 #include <LibGateway/FleetOperator.h>
+#include <LibGateway/InternalHttpServer.h>
 #include <LibGateway/LoadExchange.h>
-#include <LibGateway/ProbeListener.h>
 #include <LibGateway/RelayFollower.h>
 #include <LibGateway/StoreFollower.h>
 #include <LibGateway/UsageReporter.h>
@@ -34,7 +34,7 @@
 private:
     [[nodiscard]] StoreFollower::Paces operator_paces() const;
     [[nodiscard]] StoreFollower::Paces endpoints_paces(Core::Duration drain_within) const;
-    [[nodiscard]] ProbeAnswer answer_box(std::string_view path, std::string const& body);
+    [[nodiscard]] InternalHttpResponse answer_box(std::string_view path, std::string const& body);
     void connect_crash_news();
     void open_leadership(Membership::BoxRecord const& own);
     /// Takes what came from another box and is no load report. False for bytes that are nothing that it knows.
@@ -87,7 +87,7 @@
     std::uint64_t seed;
     bool is_first_start;
     bool has_asked_others { false };
-    std::optional<ProbeListener> listener;
+    std::optional<InternalHttpServer> listener;
     /// Nothing where other boxes can't reach this one.
     std::optional<BoxRegistry> registry;
     std::optional<LoadExchange> loads;
--- a/Libraries/LibGateway/CrashNews.cpp
+++ b/Libraries/LibGateway/CrashNews.cpp
@@ -140,7 +140,7 @@
         // NOTE: First crashes are nearly all of bystanders; the box that saw one has logged it.
         if (auto const verdict = this->ledger.verdict(report.request, now); verdict.crashes > 1)
             log_crash("crash_heard", report, verdict);
-        this->pause.end();
+        this->pause.interrupt();
     }
     for (auto const& request : message.cleared) {
         auto const crashes = this->ledger.verdict(request, now).crashes;
@@ -174,7 +174,7 @@
         return;
     this->metrics.count_crash_report("read");
     log_crash("crash_read", crash->report, this->ledger.verdict(crash->report.request, now));
-    this->pause.end();
+    this->pause.interrupt();
 }
 
 void CrashNews::announce(News news)
@@ -184,7 +184,7 @@
     // NOTE: Until the others know of a probe they may begin one of their own.
     bool const is_urgent = std::holds_alternative<Probing>(news);
     this->pending.push_back({ std::move(news), 0, monotonic_now() + (is_urgent ? Core::Duration { 0 } : gathering) });
-    this->pause.end();
+    this->pause.interrupt();
 }
 
 std::optional<Core::Duration> CrashNews::time_until_told_again(Pending& waiting)
--- a/Libraries/LibGateway/CrashNews.h
+++ b/Libraries/LibGateway/CrashNews.h
@@ -102,7 +102,7 @@
     static constexpr Core::Duration idle_interval { std::chrono::minutes(1) };
 
     GatewayMetrics& metrics;
-    Pause pause;
+    InterruptibleTimer pause;
     Tell to_boxes;
     Keep to_store;
     Routing::CrashLedger ledger;
--- a/Libraries/LibGateway/EndpointCall.cpp
+++ b/Libraries/LibGateway/EndpointCall.cpp
@@ -7,7 +7,7 @@
 
 Task<error_code> EndpointCall::open(EndpointId endpoint, Routing::SocketAddress address)
 {
-    this->connection = this->state.connections.take_idle(endpoint, Core::monotonic_now());
+    this->connection = this->state.connections.acquire_idle(endpoint, Core::monotonic_now());
     this->reused = this->connection != nullptr;
     if (this->reused) {
         this->opened_at = this->connection->opened_at;
@@ -38,7 +38,7 @@
 {
     for (;;) {
         this->parser = std::make_unique<AnswerParser>();
-        this->parser->header_limit(largest_answer_head);
+        this->parser->header_limit(max_answer_head_bytes);
         this->parser->body_limit(boost::none);
         this->parser->skip(this->is_head_request);
         auto const [error, bytes] = co_await http::async_read_header(
@@ -102,9 +102,9 @@
         used->abort();
         return;
     }
-    if (auto const told = Adapter::idle_time_told(this->head()))
-        used->told_idle_time = told;
-    this->state.connections.put_back(std::move(used), now);
+    if (auto const timeout = Adapter::decode_keep_alive_timeout(this->head()))
+        used->keep_alive_timeout = timeout;
+    this->state.connections.release(std::move(used), now);
 }
 
 }
--- a/Libraries/LibGateway/EndpointCall.h
+++ b/Libraries/LibGateway/EndpointCall.h
@@ -43,7 +43,7 @@
     using AnswerParser = http::response_parser<http::buffer_body>;
 
     static constexpr std::size_t piece_bytes = 8 * 1024;
-    static constexpr std::uint32_t largest_answer_head = 64 * 1024;
+    static constexpr std::uint32_t max_answer_head_bytes = 64 * 1024;
 
     GatewayState& state;
     std::string attempt;
--- a/Libraries/LibGateway/EndpointCheck.cpp
+++ b/Libraries/LibGateway/EndpointCheck.cpp
@@ -2,30 +2,30 @@
 
 namespace Gateway {
 
-std::string_view to_string(EndpointFinding finding)
+std::string_view to_string(EndpointCheckResult check_result)
 {
-    switch (finding) {
-    case EndpointFinding::Refuses:
+    switch (check_result) {
+    case EndpointCheckResult::Refuses:
         return "refuses";
-    case EndpointFinding::Answers:
+    case EndpointCheckResult::Answers:
         return "answers";
-    case EndpointFinding::Unknown:
+    case EndpointCheckResult::Unknown:
         break;
     }
     return "unknown";
 }
 
-Task<EndpointFinding> check_endpoint(GatewayState& state, Core::EndpointId endpoint, Routing::SocketAddress address)
+Task<EndpointCheckResult> check_endpoint(GatewayState& state, Core::EndpointId endpoint, Routing::SocketAddress address)
 {
     error_code error;
     state.metrics.count_endpoint_connection();
     auto connection = co_await state.connections.connect(endpoint, std::move(address), error);
     if (error == asio::error::connection_refused)
-        co_return EndpointFinding::Refuses;
+        co_return EndpointCheckResult::Refuses;
     if (error)
-        co_return EndpointFinding::Unknown;
-    state.connections.put_back(std::move(connection), Core::monotonic_now());
-    co_return EndpointFinding::Answers;
+        co_return EndpointCheckResult::Unknown;
+    state.connections.release(std::move(connection), Core::monotonic_now());
+    co_return EndpointCheckResult::Answers;
 }
 
 }
--- a/Libraries/LibGateway/EndpointConnections.cpp
+++ b/Libraries/LibGateway/EndpointConnections.cpp
@@ -11,7 +11,7 @@
     this->socket.close(ignored);
 }
 
-SharedConnection EndpointConnections::take_idle(EndpointId endpoint, Core::Instant now)
+SharedConnection EndpointConnections::acquire_idle(EndpointId endpoint, Core::Instant now)
 {
     auto const found = this->idle.find(endpoint);
     if (found == this->idle.end())
@@ -20,7 +20,7 @@
     while (!kept.empty()) {
         auto connection = std::move(kept.back());
         kept.pop_back();
-        ++connection->turn;
+        ++connection->generation;
         error_code error;
         // NOTE: The watch may not have run yet; bytes on an idle connection belong to no request.
         bool const is_silent = connection->socket.available(error) == 0 && !error;
@@ -40,7 +40,7 @@
 {
     auto connection = std::make_shared<EndpointConnection>(this->context);
     connection->endpoint = endpoint;
-    auto const place = to_socket_address(address);
+    auto const place = to_tcp_endpoint(address);
     if (!place) {
         error = asio::error::invalid_argument;
         co_return nullptr;
@@ -63,20 +63,20 @@
     co_return connection;
 }
 
-void EndpointConnections::put_back(SharedConnection connection, Core::Instant now)
+void EndpointConnections::release(SharedConnection connection, Core::Instant now)
 {
     auto& kept = this->idle[connection->endpoint];
-    if (kept.size() >= most_idle_per_endpoint) {
+    if (kept.size() >= max_idle_per_endpoint) {
         connection->abort();
         return;
     }
     connection->idle_since = now;
-    ++connection->turn;
-    this->watch(connection);
+    ++connection->generation;
+    this->close_when_readable(connection);
     kept.push_back(std::move(connection));
 }
 
-void EndpointConnections::forget(EndpointId endpoint)
+void EndpointConnections::close_idle(EndpointId endpoint)
 {
     auto const found = this->idle.find(endpoint);
     if (found == this->idle.end())
@@ -86,7 +86,7 @@
     this->idle.erase(found);
 }
 
-void EndpointConnections::close_old(Core::Instant now)
+void EndpointConnections::close_expired(Core::Instant now)
 {
     for (auto& [endpoint, kept] : this->idle) {
         // NOTE: The oldest stand in front, since the newest are used first.
@@ -99,9 +99,9 @@
 
 bool EndpointConnections::is_fresh(EndpointConnection const& connection, Core::Instant now)
 {
-    auto const allowed = connection.told_idle_time
-        ? std::max(Core::Duration { 0 }, *connection.told_idle_time - idle_margin)
-        : usual_idle_time;
+    auto const allowed = connection.keep_alive_timeout
+        ? std::max(Core::Duration { 0 }, *connection.keep_alive_timeout - idle_margin)
+        : default_idle_timeout;
     return now - connection.idle_since < allowed;
 }
 
@@ -122,12 +122,12 @@
     socket.set_option(UserTimeout(unacknowledged_milliseconds), ignored);
 }
 
-void EndpointConnections::watch(SharedConnection const& connection)
+void EndpointConnections::close_when_readable(SharedConnection const& connection)
 {
-    connection->socket.async_wait(
-        tcp::socket::wait_read, [this, watched = std::weak_ptr(connection), turn = connection->turn](error_code error) {
-            auto const connection = watched.lock();
-            if (error || !connection || connection->turn != turn)
+    connection->socket.async_wait(tcp::socket::wait_read,
+        [this, weak_connection = std::weak_ptr(connection), generation = connection->generation](error_code error) {
+            auto const connection = weak_connection.lock();
+            if (error || !connection || connection->generation != generation)
                 return;
             connection->abort();
             auto const found = this->idle.find(connection->endpoint);
--- a/Libraries/LibGateway/EndpointConnections.h
+++ b/Libraries/LibGateway/EndpointConnections.h
@@ -27,10 +27,10 @@
     /// Whether it carried a request before.
     bool is_reused { false };
     /// How long the endpoint keeps it idle, as far as it told.
-    std::optional<Core::Duration> told_idle_time;
+    std::optional<Core::Duration> keep_alive_timeout;
     Core::Instant idle_since;
     /// Changes when it is taken from the pool or put back, so that a watch set earlier knows that it is over.
-    std::uint64_t turn { 0 };
+    std::uint64_t generation { 0 };
 };
 
 using SharedConnection = std::shared_ptr<EndpointConnection>;
@@ -45,16 +45,16 @@
     }
 
     /// A kept connection, the one used last; null if there is none that can be trusted.
-    [[nodiscard]] SharedConnection take_idle(EndpointId endpoint, Core::Instant now);
+    [[nodiscard]] SharedConnection acquire_idle(EndpointId endpoint, Core::Instant now);
     /// Opens a new one; null, with the error, where that fails or takes too long.
     [[nodiscard]] Task<SharedConnection> connect(
         EndpointId endpoint, Routing::SocketAddress address, error_code& error);
     /// Keeps the connection for the next request.
-    void put_back(SharedConnection connection, Core::Instant now);
+    void release(SharedConnection connection, Core::Instant now);
     /// Closes the idle connections of an endpoint that is gone.
-    void forget(EndpointId endpoint);
+    void close_idle(EndpointId endpoint);
     /// Closes those that were idle for too long.
-    void close_old(Core::Instant now);
+    void close_expired(Core::Instant now);
 
 private:
     /// A new connection takes an endpoint about 1 ms and the network a few; one that is not up by then goes to a box
@@ -67,14 +67,14 @@
     static constexpr int probe_interval_seconds = 1;
     static constexpr int probe_count = 2;
     /// Endpoints that tell no time were seen to close idle connections after some seconds.
-    static constexpr Core::Duration usual_idle_time { std::chrono::seconds(4) };
+    static constexpr Core::Duration default_idle_timeout { std::chrono::seconds(4) };
     /// Taken off the time told, so that a request does not cross the endpoint's close.
     static constexpr Core::Duration idle_margin { std::chrono::milliseconds(1200) };
-    static constexpr std::size_t most_idle_per_endpoint = 32;
+    static constexpr std::size_t max_idle_per_endpoint = 32;
 
     [[nodiscard]] static bool is_fresh(EndpointConnection const& connection, Core::Instant now);
     void set_options(tcp::socket& socket) const;
-    void watch(SharedConnection const& connection);
+    void close_when_readable(SharedConnection const& connection);
 
     asio::io_context& context;
     std::unordered_map<EndpointId, std::deque<SharedConnection>> idle;
--- a/Libraries/LibGateway/EventPace.h
+++ b/Libraries/LibGateway/EventRateMeter.h
@@ -8,29 +8,29 @@
 namespace Gateway {
 
 /// Measures how fast the events of an answer follow one another, some events at a time.
-class EventPace {
+class EventRateMeter {
 public:
     /// Events that came and the time from the one before the first of them to the last.
-    struct Stretch {
+    struct Sample {
         unsigned events { 0 };
-        Core::Duration taken { 0 };
+        Core::Duration duration { 0 };
 
-        bool operator==(Stretch const&) const = default;
+        bool operator==(Sample const&) const = default;
     };
 
     /// Takes a piece of the answer that came at `now`; a stretch where enough events have come since the last one.
     /// Events that came together with the first piece count for nothing: when they were made can't be told.
-    [[nodiscard]] std::optional<Stretch> take(std::string_view piece, Core::Instant now);
+    [[nodiscard]] std::optional<Sample> add(std::string_view piece, Core::Instant now);
     /// The next piece is of another run.
-    void restart() { *this = EventPace(); }
+    void reset() { *this = EventRateMeter(); }
 
 private:
-    [[nodiscard]] unsigned count_ends(std::string_view piece);
+    [[nodiscard]] unsigned count_event_ends(std::string_view piece);
 
     /// So many events make a stretch: about a tenth of a long answer, and enough that a late packet counts little.
-    static constexpr unsigned events_per_stretch = 8;
+    static constexpr unsigned events_per_sample = 8;
 
-    std::optional<Core::Instant> begun_at;
+    std::optional<Core::Instant> sample_start;
     unsigned events { 0 };
     /// Whether the last byte ended a line, so that a line end next ends an event.
     bool is_at_line_start { false };
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -18,17 +18,17 @@
 
 }
 
-std::string EventSplitter::take(std::string_view piece)
+std::string EventSplitter::append(std::string_view piece)
 {
     this->partial.append(piece);
     auto const end = end_of_whole_events(this->partial);
     auto whole = this->partial.substr(0, end);
     this->partial.erase(0, end);
-    this->note_ids(whole);
+    this->record_ids(whole);
     return whole;
 }
 
-void EventSplitter::note_ids(std::string_view events)
+void EventSplitter::record_ids(std::string_view events)
 {
     constexpr std::string_view field = "id:";
     while (!events.empty()) {
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -12,16 +12,16 @@
 class EventSplitter {
 public:
     /// Takes what came and gives the whole events that are complete by now, as they were written.
-    [[nodiscard]] std::string take(std::string_view piece);
+    [[nodiscard]] std::string append(std::string_view piece);
     /// What came after the last whole event.
-    [[nodiscard]] std::string const& rest() const { return this->partial; }
+    [[nodiscard]] std::string const& partial_event() const { return this->partial; }
     /// Forgets a part of an event, before another run continues the stream.
-    void drop_rest() { this->partial.clear(); }
+    void discard_partial_event() { this->partial.clear(); }
     /// The id of the last whole event that had one.
     [[nodiscard]] std::optional<std::string> const& last_id() const { return this->last_event_id; }
 
 private:
-    void note_ids(std::string_view events);
+    void record_ids(std::string_view events);
 
     std::string partial;
     std::optional<std::string> last_event_id;
--- a/Libraries/LibGateway/ExchangeLog.cpp
+++ b/Libraries/LibGateway/ExchangeLog.cpp
@@ -57,7 +57,7 @@
     case AttemptEnd::BrokenAfterDelivery:
         return this->is_cancelled() ? AttemptResult::CallerGone : AttemptResult::BrokenAfterDelivery;
     case AttemptEnd::Unknown:
-        return this->has_left ? AttemptResult::CallerGone : AttemptResult::Failed;
+        return this->has_client_left ? AttemptResult::CallerGone : AttemptResult::Failed;
     }
     return AttemptResult::Failed;
 }
@@ -74,26 +74,26 @@
         .with("status", attempt.status)
         .with("reused_connection", yes_or_no(attempt.reused_connection))
         .with("took_ms", Core::to_milliseconds(now - attempt.started));
-    if (attempt.told_per_second)
-        line.with("told_limit_per_s", *attempt.told_per_second);
-    if (attempt.told_draining)
+    if (attempt.reported_rate_limit)
+        line.with("told_limit_per_s", *attempt.reported_rate_limit);
+    if (attempt.reported_draining)
         line.with("told_draining", "yes");
-    if (attempt.told_backoff)
-        line.with("told_retry_after_s", Core::to_seconds(*attempt.told_backoff));
+    if (attempt.reported_backoff)
+        line.with("told_retry_after_s", Core::to_seconds(*attempt.reported_backoff));
     if (!attempt.detail.empty())
         line.with("detail", attempt.detail);
     line.info();
 }
 
-void RequestExchange::log_break(Attempt const& attempt, EndpointFinding finding) const
+void RequestExchange::log_broken_connection(Attempt const& attempt, EndpointCheckResult check_result) const
 {
-    this->state.metrics.count_broken_connection(to_string(finding));
+    this->state.metrics.count_broken_connection(to_string(check_result));
     Log::EventLine("broken_connection_checked")
         .with("id", this->attempt_id)
         .with("fingerprint", Routing::to_string(this->fingerprint))
         .with("endpoint", attempt.placed.endpoint.incarnation)
         .with("run_began_ms_ago", Core::to_milliseconds(Core::monotonic_now() - attempt.started))
-        .with("endpoint_now", to_string(finding))
+        .with("endpoint_now", to_string(check_result))
         .info();
 }
 
@@ -133,7 +133,7 @@
 {
     auto const taken = monotonic_now() - this->arrived;
     auto const route = this->admitted ? this->admitted->route->name : std::string("none");
-    this->state.metrics.count_request(route, this->has_left ? 0 : status);
+    this->state.metrics.count_request(route, this->has_client_left ? 0 : status);
     this->state.metrics.observe_answer(route, taken);
     Log::EventLine line("request_ended");
     line.with("id", this->attempt_id).with("route", route);
@@ -142,7 +142,7 @@
     line.with("status", status)
         .with("reason", Core::to_string(reason))
         .with("attempts", this->sent_attempts)
-        .with("client_left", yes_or_no(this->has_left))
+        .with("client_left", yes_or_no(this->has_client_left))
         .with("took_ms", Core::to_milliseconds(taken))
         .info();
 }
--- a/Libraries/LibGateway/ExchangeRetries.cpp
+++ b/Libraries/LibGateway/ExchangeRetries.cpp
@@ -12,7 +12,7 @@
 
 Reason RequestExchange::retry_reason(AttemptEnd end) const
 {
-    if (this->was_silent)
+    if (this->was_endpoint_silent)
         return Reason::EndpointSilent;
     switch (end) {
     case AttemptEnd::NotSent:
@@ -28,7 +28,7 @@
 
 Reason RequestExchange::reason_for_giving_up() const
 {
-    if (this->has_left)
+    if (this->has_client_left)
         return Reason::CallerGone;
     if (this->has_expired)
         return this->admitted->expiry;
@@ -47,7 +47,7 @@
     if (this->may_have_run && !this->admitted->route->is_repeatable())
         return false;
     if (end == AttemptEnd::NotSent)
-        return this->unsent_attempts <= most_unsent_attempts;
+        return this->unsent_attempts <= max_unsent_attempts;
     if (end == AttemptEnd::BrokenAfterDelivery)
         return false;
     // NOTE: The budget was asked when the endpoint's failure was held back.
@@ -57,37 +57,37 @@
         && this->state.router.may_repeat(*this->admitted, monotonic_now());
 }
 
-bool RequestExchange::failure_may_be_withheld()
+bool RequestExchange::may_retry_failure()
 {
-    return !this->has_left && this->admitted->route->is_repeatable()
+    return !this->has_client_left && this->admitted->route->is_repeatable()
         && this->sent_attempts < this->admitted->route->max_attempts
         && this->state.router.may_repeat(*this->admitted, monotonic_now());
 }
 
-Task<bool> RequestExchange::examine_break(Attempt attempt)
+Task<bool> RequestExchange::check_broken_connection(Attempt attempt)
 {
     auto const& placed = attempt.placed;
     // NOTE: An endpoint that leaves ends as planned; what it broke off says nothing of the request.
     bool const was_in_use = this->state.router.may_receive(placed.choice.endpoint, monotonic_now());
-    auto const finding = co_await check_endpoint(this->state, placed.choice.endpoint, placed.endpoint.address);
-    this->log_break(attempt, finding);
-    bool const has_crashed = was_in_use && finding == EndpointFinding::Refuses;
+    auto const check_result = co_await check_endpoint(this->state, placed.choice.endpoint, placed.endpoint.address);
+    this->log_broken_connection(attempt, check_result);
+    bool const has_crashed = was_in_use && check_result == EndpointCheckResult::Refuses;
     if (has_crashed)
-        this->state.crash_news.crashed(
+        this->state.crash_exchange.crashed(
             { this->fingerprint, Routing::life_of(placed.endpoint), attempt.known_crashes + 1 });
     co_return has_crashed;
 }
 
-void RequestExchange::examine_break_later(Attempt const& attempt)
+void RequestExchange::check_broken_connection_in_background(Attempt const& attempt)
 {
     if (!attempt.connection_broke)
         return;
-    this->examines_break = true;
+    this->checks_connection = true;
     // NOTE: Not awaited, since the client is told at once.
     asio::co_spawn(
         this->state.context,
         [self = this->shared_from_this(), attempt]() -> Task<void> {
-            static_cast<void>(co_await self->examine_break(attempt));
+            static_cast<void>(co_await self->check_broken_connection(attempt));
             self->end_probe();
         },
         asio::detached);
@@ -99,7 +99,7 @@
         co_return false;
     // NOTE: Known before the next endpoint is chosen, a round trip later: without that a call that may be repeated
     // takes two endpoints with it each time it comes.
-    bool const has_crashed = co_await this->examine_break(attempt);
+    bool const has_crashed = co_await this->check_broken_connection(attempt);
     this->crashes_endpoints = has_crashed && attempt.known_crashes > 0;
     co_return this->crashes_endpoints;
 }
@@ -107,35 +107,35 @@
 void RequestExchange::begin_probe()
 {
     if (!std::exchange(this->is_probe, true))
-        this->state.crash_news.probe_began(this->fingerprint);
+        this->state.crash_exchange.probe_began(this->fingerprint);
 }
 
 void RequestExchange::end_probe()
 {
     if (std::exchange(this->is_probe, false))
-        this->state.crash_news.probe_ended(this->fingerprint);
+        this->state.crash_exchange.probe_ended(this->fingerprint);
 }
 
-void RequestExchange::note_run(Attempt const& attempt, AttemptEnd end)
+void RequestExchange::report_run(Attempt const& attempt, AttemptEnd end)
 {
     constexpr unsigned first_no_success = 300;
     // NOTE: A plain service that broke its connection may have run the request; an engine shows no token of it.
     bool const has_run = end == AttemptEnd::EndpointError || (end == AttemptEnd::Unknown && !this->admitted->is_engine);
     if (has_run)
-        this->count_begun(attempt.started);
+        this->count_started(attempt.started);
     if (attempt.status != 0)
-        this->state.crash_news.answered(
+        this->state.crash_exchange.answered(
             Routing::life_of(attempt.placed.endpoint), { attempt.connection_opened, attempt.started });
     bool const ended_well
         = end == AttemptEnd::Delivered && attempt.status >= status_ok && attempt.status < first_no_success;
     if (ended_well)
-        this->state.crash_news.ran_well(this->fingerprint);
+        this->state.crash_exchange.ran_well(this->fingerprint);
 }
 
-void RequestExchange::count_begun(Core::Instant at)
+void RequestExchange::count_started(Core::Instant at)
 {
     if (!std::exchange(this->is_counted, true))
-        this->state.note_begun(this->admitted->account, at);
+        this->state.count_started_request(this->admitted->account, at);
 }
 
 }
--- a/Libraries/LibGateway/FleetOperator.cpp
+++ b/Libraries/LibGateway/FleetOperator.cpp
@@ -103,7 +103,7 @@
         .with("answer", answer && !is_accepted ? answer->body.substr(0, longest_answer_logged) : "")
         .info();
     // NOTE: A conflict says that there are no servers to be had, or that another box leads; the log knows which.
-    if (answer && Adapter::says_conflict(answer->status))
+    if (answer && Adapter::is_conflict(answer->status))
         co_await this->leadership.look_who_leads();
 }
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -51,13 +51,13 @@
     , signals(this->context, SIGTERM, SIGINT, SIGHUP)
     , settings_changed_at(change_time(this->options.settings_path))
 {
-    this->state.most_body_bytes
+    this->state.max_held_body_bytes
         = static_cast<std::size_t>(static_cast<double>(this->environment.memory_bytes) * share_of_memory_for_bodies);
     constexpr std::int64_t microseconds_per_millisecond = 1000;
     this->state.clock.start(
         static_cast<std::uint64_t>(Core::wall_clock_milliseconds() * microseconds_per_millisecond), monotonic_now());
-    this->state.most_clients
-        = static_cast<std::size_t>(static_cast<double>(this->environment.most_sockets) * share_of_sockets_for_clients);
+    this->state.max_clients
+        = static_cast<std::size_t>(static_cast<double>(this->environment.max_sockets) * share_of_sockets_for_clients);
 }
 
 std::unique_ptr<Gateway> Gateway::try_create(
@@ -107,9 +107,9 @@
     if (this->metrics_listener)
         asio::co_spawn(this->context, this->metrics_listener->run(), asio::detached);
     asio::co_spawn(this->context, this->accept_clients(), asio::detached);
-    asio::co_spawn(this->context, this->keep_house(), asio::detached);
+    asio::co_spawn(this->context, this->run_housekeeping(), asio::detached);
     asio::co_spawn(this->context, this->wait_for_signals(), asio::detached);
-    this->state.on_wake = [this](Core::Duration suspended) { this->wake(suspended); };
+    this->state.on_suspension = [this](Core::Duration suspended) { this->handle_suspension(suspended); };
     asio::co_spawn(this->context, this->watch_for_suspension(), asio::detached);
     this->context.run();
     Log::EventLine("gateway_stopped").with("requests_open", this->state.requests).info();
@@ -126,13 +126,13 @@
             co_await sleep_for(std::chrono::milliseconds(10));
             continue;
         }
-        if (this->state.clients >= this->state.most_clients) {
+        if (this->state.clients >= this->state.max_clients) {
             Log::EventLine("client_turned_away").with("clients", this->state.clients).warning();
             continue;
         }
         error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
-        auto const client = std::make_shared<CallerConnection>(this->state, std::move(socket));
+        auto const client = std::make_shared<ClientConnection>(this->state, std::move(socket));
         this->clients.push_back(client);
         // NOTE: The task must hold the connection before it first runs, so it is made inside one that does.
         asio::co_spawn(
@@ -140,15 +140,15 @@
     }
 }
 
-Task<void> Gateway::keep_house()
+Task<void> Gateway::run_housekeeping()
 {
     for (;;) {
         auto const now = monotonic_now();
         this->state.router.set_shared_clock(this->state.clock.ahead());
         for (auto const endpoint : this->state.router.expire_endpoints(now))
-            this->state.connections.forget(endpoint);
-        this->state.connections.close_old(now);
-        this->forget_closed_clients();
+            this->state.connections.close_idle(endpoint);
+        this->state.connections.close_expired(now);
+        this->remove_closed_clients();
         this->log_readiness_change();
         if (auto const changed_at = change_time(this->options.settings_path); changed_at != this->settings_changed_at)
             this->reload_settings();
@@ -161,20 +161,20 @@
 {
     for (;;) {
         co_await sleep_for(suspension_check);
-        this->state.notice_suspension();
+        this->state.check_for_suspension();
     }
 }
 
-void Gateway::wake(Core::Duration suspended)
+void Gateway::handle_suspension(Core::Duration suspended)
 {
     auto const now = monotonic_now();
     this->state.router.woke(now);
     this->control.woke(now);
-    this->state.connections.close_old(now);
+    this->state.connections.close_expired(now);
     std::size_t expired = 0;
     for (auto const& weak : this->clients) {
         auto const client = weak.lock();
-        expired += client && client->woke() ? 1 : 0;
+        expired += client && client->after_suspension() ? 1 : 0;
     }
     this->state.metrics.observe_suspension(suspended);
     Log::EventLine("box_was_suspended")
@@ -201,21 +201,21 @@
 
 Task<void> Gateway::stop()
 {
-    auto const told_at = monotonic_now();
-    auto const ends_at = told_at + this->environment.stop_grace - stop_margin;
+    auto const signalled_at = monotonic_now();
+    auto const shutdown_deadline = signalled_at + this->environment.stop_grace - stop_margin;
     this->state.is_stopping = true;
     Log::EventLine("stop_begun").with("requests_open", this->state.requests).info();
     // NOTE: The balancer sends new clients until it has asked twice, so they are served until then.
-    co_await sleep_for(std::min(balancer_lag, ends_at - told_at));
+    co_await sleep_for(std::min(balancer_lag, shutdown_deadline - signalled_at));
     error_code ignored;
     this->clients_acceptor->close(ignored);
-    this->state.ends_at = ends_at;
-    while (monotonic_now() < ends_at) {
+    this->state.shutdown_deadline = shutdown_deadline;
+    while (monotonic_now() < shutdown_deadline) {
         for (auto const& weak : this->clients) {
             if (auto const client = weak.lock())
                 client->close_if_idle();
         }
-        this->forget_closed_clients();
+        this->remove_closed_clients();
         if (this->clients.empty())
             break;
         co_await sleep_for(std::chrono::milliseconds(50));
@@ -224,7 +224,7 @@
     this->context.stop();
 }
 
-bool Gateway::takes_clients() const
+bool Gateway::is_ready() const
 {
     auto const trust = this->state.router.trust(monotonic_now());
     bool const knows_configuration = trust == ConfigurationTrust::Fresh || trust == ConfigurationTrust::Aging;
@@ -232,21 +232,22 @@
         && this->control.knows_endpoints();
 }
 
-ProbeAnswer Gateway::answer_readiness(std::string_view path)
+InternalHttpResponse Gateway::answer_readiness(std::string_view path)
 {
     if (!Adapter::is_readiness_path(path))
         return { status_not_found, "" };
-    return this->takes_clients() ? ProbeAnswer { status_ok, "ready\n" } : ProbeAnswer { status_unavailable, "no\n" };
+    return this->is_ready() ? InternalHttpResponse { status_ok, "ready\n" }
+                            : InternalHttpResponse { status_unavailable, "no\n" };
 }
 
-ProbeAnswer Gateway::answer_metrics(std::string_view path)
+InternalHttpResponse Gateway::answer_metrics(std::string_view path)
 {
     if (path != "/metrics")
         return { status_not_found, "" };
     auto const configuration = this->state.router.configuration();
     this->state.metrics.set_configuration(
         configuration ? configuration->version() : 0, this->state.router.configuration_age(monotonic_now()));
-    this->state.metrics.set_refused_requests(this->state.crash_news.refused_count());
+    this->state.metrics.set_refused_requests(this->state.crash_exchange.refused_count());
     this->state.metrics.set_limited_endpoints(this->state.router.limited_endpoints());
     return { status_ok, this->state.metrics.to_text() };
 }
@@ -268,14 +269,14 @@
     Log::EventLine("settings_reloaded").info();
 }
 
-void Gateway::forget_closed_clients()
+void Gateway::remove_closed_clients()
 {
     this->clients.remove_if([](auto const& client) { return client.expired(); });
 }
 
 void Gateway::log_readiness_change()
 {
-    bool const is_ready = this->takes_clients();
+    bool const is_ready = this->is_ready();
     if (is_ready == this->was_ready)
         return;
     this->was_ready = is_ready;
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <LibGateway/CallerConnection.h>
+#include <LibGateway/ClientConnection.h>
 #include <LibGateway/ControlPlane.h>
-#include <LibGateway/ProbeListener.h>
+#include <LibGateway/InternalHttpServer.h>
 
 #include <boost/asio/signal_set.hpp>
 #include <list>
@@ -41,17 +41,17 @@
 
     [[nodiscard]] bool open_listeners(Core::LastReason& last_reason);
     [[nodiscard]] Task<void> accept_clients();
-    [[nodiscard]] Task<void> keep_house();
+    [[nodiscard]] Task<void> run_housekeeping();
     [[nodiscard]] Task<void> watch_for_suspension();
     /// The box was suspended for so long, and all that follows from it is done.
-    void wake(Core::Duration suspended);
+    void handle_suspension(Core::Duration suspended);
     [[nodiscard]] Task<void> wait_for_signals();
     [[nodiscard]] Task<void> stop();
-    [[nodiscard]] bool takes_clients() const;
-    [[nodiscard]] ProbeAnswer answer_readiness(std::string_view path);
-    [[nodiscard]] ProbeAnswer answer_metrics(std::string_view path);
+    [[nodiscard]] bool is_ready() const;
+    [[nodiscard]] InternalHttpResponse answer_readiness(std::string_view path);
+    [[nodiscard]] InternalHttpResponse answer_metrics(std::string_view path);
     void reload_settings();
-    void forget_closed_clients();
+    void remove_closed_clients();
     void log_readiness_change();
 
     /// How often idle connections, lapsed endpoints and the log's buffer are looked after. Well below the 2 s in which
@@ -75,9 +75,9 @@
     GatewayState state;
     ControlPlane control;
     std::optional<tcp::acceptor> clients_acceptor;
-    std::optional<ProbeListener> readiness;
-    std::optional<ProbeListener> metrics_listener;
-    std::list<std::weak_ptr<CallerConnection>> clients;
+    std::optional<InternalHttpServer> readiness;
+    std::optional<InternalHttpServer> metrics_listener;
+    std::list<std::weak_ptr<ClientConnection>> clients;
     asio::signal_set signals;
     std::optional<std::int64_t> settings_changed_at;
     bool was_ready { false };
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -103,9 +103,9 @@
     this->endpoint_connections.Increment();
 }
 
-void GatewayMetrics::count_broken_connection(std::string_view finding)
+void GatewayMetrics::count_broken_connection(std::string_view check_result)
 {
-    this->broken_connections.Add({ { "endpoint_now", std::string(finding) } }).Increment();
+    this->broken_connections.Add({ { "endpoint_now", std::string(check_result) } }).Increment();
 }
 
 void GatewayMetrics::count_store_call(std::string_view what, std::string_view outcome)
@@ -113,7 +113,7 @@
     this->store_calls.Add({ { "for", std::string(what) }, { "outcome", std::string(outcome) } }).Increment();
 }
 
-void GatewayMetrics::set_leads(bool is_leader)
+void GatewayMetrics::set_is_leader(bool is_leader)
 {
     this->leads.Set(is_leader ? 1 : 0);
 }
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -25,13 +25,13 @@
     void count_attempt(std::string_view result);
     void count_endpoint_connection();
     /// An endpoint broke a connection that carried a request; `finding` is what a new one to it showed.
-    void count_broken_connection(std::string_view finding);
+    void count_broken_connection(std::string_view check_result);
     /// `what` is the topic it was for: "operator", "endpoints" or "boxes".
     void count_store_call(std::string_view what, std::string_view outcome);
     /// The store came back from a copy that lacks what was written last.
     void count_store_restored();
     /// Whether this box leads.
-    void set_leads(bool leads);
+    void set_is_leader(bool leads);
     /// Usage reports to the platform: "taken", "refused", "no-answer", or "missed" where a window's time was over.
     void count_usage_report(std::string_view outcome);
     /// Orders of servers: "accepted", "refused" or "no-answer".
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -18,19 +18,19 @@
         : context(context)
         , router(std::move(settings), seed)
         , connections(context)
-        , crash_news(context, this->metrics)
-        , endpoint_news(this->router)
+        , crash_exchange(context, this->metrics)
+        , endpoint_notice_exchange(this->router)
     {
     }
 
     /// Looks whether the box was suspended since the last look, and has what hangs on it done before anything else. To
     /// be called before a decision that rests on what this box knows.
-    void notice_suspension()
+    void check_for_suspension()
     {
         auto const now = Core::monotonic_now();
         auto const length = this->suspension.observe(now, Core::awake_now());
-        if (length && this->on_wake)
-            this->on_wake(*length);
+        if (length && this->on_suspension)
+            this->on_suspension(*length);
     }
 
     /// The usage window that a moment lies in, by the time that all boxes go by.
@@ -39,7 +39,7 @@
         return Leader::window_at(this->clock.unix_microseconds(moment), this->usage_window);
     }
     /// An endpoint began a request of the client account at that moment.
-    void note_begun(std::string const& account, Core::Instant at)
+    void count_started_request(std::string const& account, Core::Instant at)
     {
         if (this->usage_window > Core::Duration { 0 } && !account.empty())
             this->usage.add(account, this->usage_window_at(at));
@@ -49,8 +49,8 @@
     Routing::RequestRouter router;
     EndpointConnections connections;
     GatewayMetrics metrics;
-    CrashNews crash_news;
-    EndpointNews endpoint_news;
+    CrashNews crash_exchange;
+    EndpointNews endpoint_notice_exchange;
     Leader::SharedClock clock;
     /// What is reported to the platform, by windows of this length; 0 where nothing is.
     Leader::UsageCounts usage;
@@ -61,18 +61,18 @@
     /// configuration that the store lost, or what endpoints told them.
     bool awaits_other_boxes { false };
     /// When this process ends at the latest; known once it takes no new connections.
-    std::optional<Core::Instant> ends_at;
+    std::optional<Core::Instant> shutdown_deadline;
     Core::SuspensionMeter suspension { Core::monotonic_now(), Core::awake_now() };
     /// Called with how long the box was suspended.
-    std::function<void(Core::Duration length)> on_wake;
+    std::function<void(Core::Duration length)> on_suspension;
     /// Requests being served.
     std::size_t requests { 0 };
     /// Bytes of request bodies held, and the most that may be.
     std::size_t body_bytes { 0 };
-    std::size_t most_body_bytes { 0 };
+    std::size_t max_held_body_bytes { 0 };
     /// Open connections of clients, and the most that may be.
     std::size_t clients { 0 };
-    std::size_t most_clients { 0 };
+    std::size_t max_clients { 0 };
 };
 
 }
--- a/Libraries/LibGateway/ProbeListener.cpp
+++ b/Libraries/LibGateway/InternalHttpServer.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/ProbeListener.h>
+#include <LibGateway/InternalHttpServer.h>
 
 #include <array>
 
@@ -8,11 +8,11 @@
 
 /// The two parts of an answer's body as the HTTP library takes a body: sent as they lie, in one call.
 struct TwoPartBody {
-    using value_type = ProbeAnswer;
+    using value_type = InternalHttpResponse;
 
     static std::uint64_t size(value_type const& answer)
     {
-        return answer.body.size() + (answer.shared_end ? answer.shared_end->size() : 0);
+        return answer.body.size() + (answer.shared_suffix ? answer.shared_suffix->size() : 0);
     }
 
     // The library's own names.
@@ -23,7 +23,7 @@
         template <bool is_request, typename Fields>
         writer(http::header<is_request, Fields> const& /*head*/, value_type const& answer)
             : parts { asio::buffer(answer.body),
-                answer.shared_end ? asio::buffer(*answer.shared_end) : asio::const_buffer() }
+                answer.shared_suffix ? asio::buffer(*answer.shared_suffix) : asio::const_buffer() }
         {
         }
         void init(error_code& error) { error = {}; }
@@ -41,20 +41,20 @@
 /// Closes the connection unless the timer is set anew or cancelled before. The turn counts how often it was set, since
 /// a handler that is queued then can't be cancelled any more.
 void close_after(asio::steady_timer& timer, Core::Duration duration, std::shared_ptr<tcp::socket> socket,
-    std::shared_ptr<std::uint64_t> turn)
+    std::shared_ptr<std::uint64_t> generation)
 {
-    auto const watched = ++*turn;
+    auto const armed_for = ++*generation;
     timer.expires_after(duration);
-    timer.async_wait([socket = std::move(socket), turn = std::move(turn), watched](error_code cancelled) {
+    timer.async_wait([socket = std::move(socket), generation = std::move(generation), armed_for](error_code cancelled) {
         error_code ignored;
-        if (!cancelled && *turn == watched)
+        if (!cancelled && *generation == armed_for)
             socket->close(ignored);
     });
 }
 
 }
 
-Task<void> ProbeListener::run()
+Task<void> InternalHttpServer::run()
 {
     while (this->acceptor.is_open()) {
         auto [error, accepted] = co_await this->acceptor.async_accept(as_value);
@@ -63,33 +63,33 @@
             co_await sleep_for(std::chrono::milliseconds(10));
             continue;
         }
-        if (*this->connections >= this->most_connections)
+        if (*this->connections >= this->max_connections)
             continue;
         auto socket = std::make_shared<tcp::socket>(std::move(accepted));
         asio::co_spawn(this->acceptor.get_executor(), this->serve(std::move(socket)), asio::detached);
     }
 }
 
-void ProbeListener::stop()
+void InternalHttpServer::stop()
 {
     error_code ignored;
     this->acceptor.close(ignored);
 }
 
-Task<void> ProbeListener::serve(std::shared_ptr<tcp::socket> socket) const
+Task<void> InternalHttpServer::serve(std::shared_ptr<tcp::socket> socket) const
 {
     auto const counted = this->connections;
     ++*counted;
-    auto const answer_question = this->answerer;
-    auto const longest = this->patience;
+    auto const answer_question = this->handler;
+    auto const timeout = this->idle_timeout;
     error_code ignored;
     socket->set_option(tcp::no_delay(true), ignored);
     flat_buffer buffer;
     asio::steady_timer timer(socket->get_executor());
-    auto const turn = std::make_shared<std::uint64_t>(0);
+    auto const generation = std::make_shared<std::uint64_t>(0);
     bool is_open = true;
     while (is_open) {
-        close_after(timer, longest, socket, turn);
+        close_after(timer, timeout, socket, generation);
         http::request<http::string_body> request;
         auto const [read_error, read] = co_await http::async_read(*socket, buffer, request, as_value);
         if (read_error)
@@ -104,7 +104,7 @@
         http::response_serializer<TwoPartBody> unsent(response);
         bool is_read = true;
         while (is_read && !unsent.is_done()) {
-            close_after(timer, longest, socket, turn);
+            close_after(timer, timeout, socket, generation);
             auto const [write_error, written] = co_await http::async_write_some(*socket, unsent, as_value);
             is_read = !write_error;
         }
--- a/Libraries/LibGateway/ProbeListener.h
+++ b/Libraries/LibGateway/InternalHttpServer.h
@@ -6,27 +6,27 @@
 
 namespace Gateway {
 
-struct ProbeAnswer {
+struct InternalHttpResponse {
     unsigned status { 200 };
     std::string body;
     /// What follows the body, held once for all answers that end with it; nothing for most.
-    std::shared_ptr<std::string const> shared_end {};
+    std::shared_ptr<std::string const> shared_suffix {};
 };
 
 /// Answers short questions about this box, such as whether it takes clients or what it knows from the store, on an
 /// address of its own. One request a connection at a time; connections are kept.
-class ProbeListener {
+class InternalHttpServer {
 public:
     /// Gives the answer for a path and the body of the question.
-    using Answerer = std::function<ProbeAnswer(std::string_view path, std::string const& body)>;
+    using Handler = std::function<InternalHttpResponse(std::string_view path, std::string const& body)>;
 
     /// `patience` is how long a connection may be silent, and how long its peer may leave an answer unread.
-    ProbeListener(tcp::acceptor acceptor, Answerer answerer, std::size_t most_connections = default_connections,
-        Core::Duration patience = default_patience)
+    InternalHttpServer(tcp::acceptor acceptor, Handler handler, std::size_t max_connections = default_max_connections,
+        Core::Duration idle_timeout = default_idle_timeout)
         : acceptor(std::move(acceptor))
-        , answerer(std::move(answerer))
-        , most_connections(most_connections)
-        , patience(patience)
+        , handler(std::move(handler))
+        , max_connections(max_connections)
+        , idle_timeout(idle_timeout)
     {
     }
 
@@ -40,14 +40,14 @@
 
     /// Probes come every second, so a silent connection is of no use. A peer that doesn't read holds what its answer
     /// holds and a place among the connections; a box that asks gives up long before.
-    static constexpr Core::Duration default_patience { std::chrono::seconds(10) };
+    static constexpr Core::Duration default_idle_timeout { std::chrono::seconds(10) };
     /// Enough for a balancer, a scraper and a person.
-    static constexpr std::size_t default_connections = 16;
+    static constexpr std::size_t default_max_connections = 16;
 
     tcp::acceptor acceptor;
-    Answerer answerer;
-    std::size_t most_connections;
-    Core::Duration patience;
+    Handler handler;
+    std::size_t max_connections;
+    Core::Duration idle_timeout;
     std::shared_ptr<std::size_t> connections { std::make_shared<std::size_t>(0) };
 };
 
--- a/Libraries/LibGateway/Leadership.cpp
+++ b/Libraries/LibGateway/Leadership.cpp
@@ -148,7 +148,7 @@
     this->must_claim_again = false;
     this->next_window = this->first_own_window;
     this->election.won(this->announcement(now), now);
-    this->state.metrics.set_leads(true);
+    this->state.metrics.set_is_leader(true);
     Log::EventLine("leader_claimed")
         .with("box", this->box_name)
         .with("token", this->own_token->value())
@@ -171,7 +171,7 @@
     this->own_token.reset();
     this->is_in_doubt = false;
     this->election.stepped_down(monotonic_now());
-    this->state.metrics.set_leads(false);
+    this->state.metrics.set_is_leader(false);
 }
 
 void Leadership::step_down(std::string_view why)
@@ -270,7 +270,7 @@
         co_return Appended::Unknown;
     }
     // NOTE: In another history of the store the log may end at the same offset by chance.
-    if (answer->era != this->leader_log.era() || Adapter::says_end_moved(answer->status))
+    if (answer->era != this->leader_log.era() || Adapter::is_append_conflict(answer->status))
         co_return Appended::EndMoved;
     auto const place = answer->status == status_ok ? Adapter::decode_append(answer->body, reason) : std::nullopt;
     if (!place) {
--- a/Libraries/LibGateway/Leadership.h
+++ b/Libraries/LibGateway/Leadership.h
@@ -128,7 +128,7 @@
     static constexpr Core::Duration listening_time { std::chrono::milliseconds(800) };
     /// Word of a leader is good for so long.
     static constexpr Core::Duration announcement_memory { std::chrono::seconds(12) };
-    /// Pause after a failed read of the log by a leader in doubt, doubled up to the longest.
+    /// InterruptibleTimer after a failed read of the log by a leader in doubt, doubled up to the longest.
     static constexpr Core::Duration first_look_pause { std::chrono::milliseconds(200) };
     static constexpr Core::Duration longest_look_pause { std::chrono::milliseconds(800) };
     /// The store usually takes 4 ms, and up to 60 times as long when it is slow.
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -20,7 +20,7 @@
 
 bool LoadExchange::open(Core::LastReason& last_reason)
 {
-    auto const place = to_socket_address(this->own);
+    auto const place = to_tcp_endpoint(this->own);
     if (!place) {
         last_reason.text = "not a numeric address: " + this->own.host;
         return false;
@@ -75,7 +75,7 @@
 
 void LoadExchange::send_to_address(Routing::SocketAddress const& address, std::string const& bytes)
 {
-    if (auto const place = to_socket_address(address))
+    if (auto const place = to_tcp_endpoint(address))
         this->send_to({ udp::endpoint(place->address(), place->port()) }, bytes, 1);
 }
 
@@ -111,7 +111,7 @@
 {
     std::vector<udp::endpoint> places;
     for (auto const& [name, box] : this->boxes.all()) {
-        auto const place = to_socket_address(box.address);
+        auto const place = to_tcp_endpoint(box.address);
         if (place && box.address != this->own)
             places.emplace_back(place->address(), place->port());
     }
--- a/Libraries/LibGateway/RelayFollower.cpp
+++ b/Libraries/LibGateway/RelayFollower.cpp
@@ -110,7 +110,7 @@
     // NOTE: Guards against a relay that answers by drops. Where no piece is late a call may last for 27 s, and for as
     // long the next box of the order would not be asked.
     auto const longest = this->source.longest_answer();
-    auto const whole = std::make_shared<CallWatch>(
+    auto const whole = std::make_shared<CallWatchdog>(
         this->state.context, CallTimeouts { longest, longest }, [this] { this->connection->abort(); });
     whole->start();
     CallTimeouts const timeouts { patience, patience };
--- a/Libraries/LibGateway/RelayFollower.h
+++ b/Libraries/LibGateway/RelayFollower.h
@@ -25,7 +25,7 @@
     /// Runs until the process ends.
     [[nodiscard]] Task<void> run();
     /// Looks at once for what has changed, such as the list of boxes.
-    void wake() { this->pause.end(); }
+    void wake() { this->pause.interrupt(); }
 
 private:
     /// False if the relay gave no answer that can be used, so that another one has to be asked.
@@ -43,7 +43,7 @@
     Membership::ControlSource& source;
     OnChange on_change;
     OnMissingConfiguration on_missing_configuration;
-    Pause pause;
+    InterruptibleTimer pause;
     /// The connection to the relay in use, and the name of its box; nothing before the first.
     std::optional<StoreConnection> connection;
     std::string relay_name;
--- a/Libraries/LibGateway/RequestExchange.cpp
+++ b/Libraries/LibGateway/RequestExchange.cpp
@@ -42,7 +42,7 @@
 
 Task<bool> RequestExchange::run()
 {
-    this->state.notice_suspension();
+    this->state.check_for_suspension();
     Core::LastReason last_reason;
     auto const head = Adapter::decode_request(this->request, last_reason);
     if (!head) {
@@ -53,7 +53,7 @@
     this->attempt_id = head->attempt;
     this->workload = head->workload;
     if (this->state.awaits_other_boxes) {
-        co_await this->refuse({ Reason::ConfigurationMissing, come_back_after_start });
+        co_await this->refuse({ Reason::ConfigurationMissing, retry_after_start });
         co_return this->keeps_client && !this->client_is_broken;
     }
     auto decision = this->state.router.admit(*head, this->arrived);
@@ -65,36 +65,36 @@
     this->fingerprint
         = Routing::fingerprint_of(this->admitted->account, head->host, head->target, this->request.body());
     if (this->may_outlast_process()) {
-        co_await this->refuse({ Reason::Draining, come_back_elsewhere });
+        co_await this->refuse({ Reason::Draining, retry_after_draining });
         co_return false;
     }
     this->arm_expiry();
     co_await this->serve();
-    if (!this->examines_break)
+    if (!this->checks_connection)
         this->end_probe();
     this->is_finished = true;
     this->expiry.cancel();
-    co_return this->keeps_client && !this->client_is_broken && !this->has_left;
+    co_return this->keeps_client && !this->client_is_broken && !this->has_client_left;
 }
 
 bool RequestExchange::may_outlast_process() const
 {
     // NOTE: A client may send its next request on a connection whose last answer has just ended, seconds after the
     // signal to stop. One that was taken 0.7 s before the end was cut off.
-    return this->state.ends_at && this->admitted->expires > *this->state.ends_at;
+    return this->state.shutdown_deadline && this->admitted->expires > *this->state.shutdown_deadline;
 }
 
 Task<void> RequestExchange::serve()
 {
     for (;;) {
-        this->state.notice_suspension();
-        auto const verdict = this->state.crash_news.verdict(this->fingerprint);
-        if (verdict.refused_for) {
-            co_await this->end_unplaced({ Reason::RequestCrashesEndpoints, verdict.refused_for });
+        this->state.check_for_suspension();
+        auto const crash_status = this->state.crash_exchange.verdict(this->fingerprint);
+        if (crash_status.refused_for) {
+            co_await this->end_unplaced({ Reason::RequestCrashesEndpoints, crash_status.refused_for });
             co_return;
         }
-        if (verdict.is_probed && !this->is_probe) {
-            co_await this->end_unplaced({ Reason::RequestProbed, come_back_after_probe });
+        if (crash_status.is_probed && !this->is_probe) {
+            co_await this->end_unplaced({ Reason::RequestProbed, retry_after_probe });
             co_return;
         }
         auto decision = this->state.router.place(*this->admitted, this->workload, this->tried, monotonic_now());
@@ -105,12 +105,12 @@
         Attempt attempt;
         attempt.placed = std::move(std::get<Routing::Placed>(decision));
         attempt.started = monotonic_now();
-        attempt.known_crashes = verdict.crashes;
-        if (verdict.crashes > 0)
+        attempt.known_crashes = crash_status.crashes;
+        if (crash_status.crashes > 0)
             this->begin_probe();
         this->last_end = co_await this->try_endpoint(attempt);
         this->record_attempt(attempt, this->last_end, monotonic_now());
-        this->note_run(attempt, this->last_end);
+        this->report_run(attempt, this->last_end);
         if (this->last_end == AttemptEnd::Delivered) {
             this->log_end(attempt.status, Reason::AnswerComplete);
             co_return;
@@ -118,7 +118,7 @@
         this->tried.push_back(attempt.placed.choice.endpoint);
         bool ends_here = this->is_cancelled() || !this->may_try_again(this->last_end);
         if (ends_here)
-            this->examine_break_later(attempt);
+            this->check_broken_connection_in_background(attempt);
         else
             ends_here = co_await this->has_crashed_again(attempt) || this->is_cancelled();
         if (ends_here) {
@@ -126,8 +126,8 @@
             co_return;
         }
         this->state.metrics.count_retry(this->retry_reason(this->last_end));
-        this->events.drop_rest();
-        this->pace.restart();
+        this->events.discard_partial_event();
+        this->event_rate.reset();
     }
 }
 
@@ -153,7 +153,7 @@
     error_code ignored;
     if (this->request.version() < http_1_1)
         this->client.socket->set_option(asio::socket_base::linger(true, 0), ignored);
-    this->log_end(last_status, this->has_left ? Reason::CallerGone : Reason::AnswerCutShort);
+    this->log_end(last_status, this->has_client_left ? Reason::CallerGone : Reason::AnswerCutShort);
 }
 
 Task<AttemptEnd> RequestExchange::try_endpoint(Attempt& attempt)
@@ -167,21 +167,21 @@
     attempt.reused_connection = this->call->is_reused();
     attempt.connection_opened = this->call->connection_opened_at();
     auto const now = monotonic_now();
-    bool const has_left = !error && !this->state.router.may_receive(endpoint, now);
-    bool const is_at_limit = !error && !has_left && !this->state.router.may_send(attempt.placed, now);
-    if (error || has_left || is_at_limit || this->is_cancelled()) {
+    bool const has_endpoint_left = !error && !this->state.router.may_receive(endpoint, now);
+    bool const is_at_limit = !error && !has_endpoint_left && !this->state.router.may_send(attempt.placed, now);
+    if (error || has_endpoint_left || is_at_limit || this->is_cancelled()) {
         // NOTE: A host that refuses shows within a round trip that the process has ended. Right after a rack is lost
         // most of those listed may, and each is tried once.
         if (error != asio::error::connection_refused)
             ++this->unsent_attempts;
-        attempt.detail = error ? "connect: " + error.message()
-            : has_left         ? "endpoint left before it was sent"
-            : is_at_limit      ? "endpoint wants no more for now"
-                               : "given up before it was sent";
+        attempt.detail = error  ? "connect: " + error.message()
+            : has_endpoint_left ? "endpoint left before it was sent"
+            : is_at_limit       ? "endpoint wants no more for now"
+                                : "given up before it was sent";
         this->call->abort();
         co_return AttemptEnd::NotSent;
     }
-    auto const end = co_await this->converse(attempt);
+    auto const end = co_await this->send_and_receive(attempt);
     this->call->release(monotonic_now());
     this->may_have_run |= end != AttemptEnd::NotRun;
     co_return end;
@@ -192,19 +192,19 @@
     ++this->sent_attempts;
     bool const has_body = !this->request.body().empty() || this->request.count(http::field::content_length) > 0
         || this->request.chunked();
-    Adapter::ForwardedFigures figures;
-    figures.account = this->admitted->account;
-    figures.expected_incarnation = attempt.placed.endpoint.incarnation;
-    figures.urgency = this->admitted->urgency;
-    figures.left = this->admitted->expires - monotonic_now();
+    Adapter::ForwardedFields forwarded;
+    forwarded.account = this->admitted->account;
+    forwarded.expected_incarnation = attempt.placed.endpoint.incarnation;
+    forwarded.urgency = this->admitted->urgency;
+    forwarded.remaining = this->admitted->expires - monotonic_now();
     if (has_body)
-        figures.body_bytes = this->request.body().size();
-    figures.last_event_id = this->events.last_id();
-    this->call->send(
-        Adapter::encode_request(this->request, figures), asio::buffer(this->request.body()), this->shared_from_this());
+        forwarded.body_bytes = this->request.body().size();
+    forwarded.last_event_id = this->events.last_id();
+    this->call->send(Adapter::encode_request(this->request, forwarded), asio::buffer(this->request.body()),
+        this->shared_from_this());
 }
 
-Task<AttemptEnd> RequestExchange::converse(Attempt& attempt)
+Task<AttemptEnd> RequestExchange::send_and_receive(Attempt& attempt)
 {
     this->send_request(attempt);
     this->arm_silence_limit();
@@ -214,16 +214,16 @@
     this->silence.cancel();
     if (error) {
         attempt.detail = "answer's head: " + error.message();
-        attempt.connection_broke = !this->is_cancelled() && !this->was_silent;
+        attempt.connection_broke = !this->is_cancelled() && !this->was_endpoint_silent;
         co_return this->end_of_broken_answer();
     }
     attempt.status = this->call->head().result_int();
-    attempt.told_draining = facts.is_draining;
-    attempt.told_backoff = facts.backoff;
+    attempt.reported_draining = facts.is_draining;
+    attempt.reported_backoff = facts.backoff;
     if (facts.rate_limit)
-        attempt.told_per_second = facts.rate_limit->per_second;
+        attempt.reported_rate_limit = facts.rate_limit->per_second;
     if (!facts.is_other_endpoint)
-        this->state.endpoint_news.answered(
+        this->state.endpoint_notice_exchange.answered(
             attempt.placed, { facts.rate_limit, facts.is_draining, !facts.not_run, facts.backoff }, attempt.started);
     auto const endpoint = attempt.placed.choice.endpoint;
     if (facts.load)
@@ -235,14 +235,14 @@
         co_await this->call->discard_body();
         co_return AttemptEnd::NotRun;
     }
-    if (attempt.status >= first_failure_status && this->failure_may_be_withheld()) {
+    if (attempt.status >= first_failure_status && this->may_retry_failure()) {
         co_await this->call->discard_body();
         co_return AttemptEnd::EndpointError;
     }
-    co_return co_await this->pass_answer(attempt);
+    co_return co_await this->forward_answer(attempt);
 }
 
-Task<AttemptEnd> RequestExchange::pass_answer(Attempt& attempt)
+Task<AttemptEnd> RequestExchange::forward_answer(Attempt& attempt)
 {
     if (this->answer_begun) {
         // NOTE: The answer keeps the head of its first run, so only a run that goes on in the same form will do.
@@ -250,7 +250,7 @@
             attempt.detail = "the stream was not continued";
             co_return AttemptEnd::BrokenAfterDelivery;
         }
-        co_return co_await this->pass_body(attempt, {}, false);
+        co_return co_await this->forward_body(attempt, {}, false);
     }
     auto const& head = this->call->head();
     auto const length = this->call->content_length();
@@ -263,30 +263,30 @@
         this->framing = length ? Adapter::BodyFraming::Length : Adapter::BodyFraming::Empty;
     this->splits_events = is_chunked && this->admitted->route->kind == RouteKind::Streaming
         && this->admitted->route->can_resume && attempt.status == status_ok;
-    bool const is_held = length && *length <= largest_held_answer;
+    bool const is_buffered = length && *length <= max_buffered_answer_bytes;
     auto out = Adapter::encode_answer(head, { this->framing, this->keeps_client });
-    co_return co_await this->pass_body(attempt, std::move(out), is_held);
+    co_return co_await this->forward_body(attempt, std::move(out), is_buffered);
 }
 
-Task<AttemptEnd> RequestExchange::pass_body(Attempt& attempt, std::string out, bool is_held)
+Task<AttemptEnd> RequestExchange::forward_body(Attempt& attempt, std::string out, bool is_buffered)
 {
     do {
         std::string piece;
         while (!this->call->is_done()) {
-            std::string came;
-            if (auto const error = co_await this->call->read_piece(came)) {
+            std::string received;
+            if (auto const error = co_await this->call->read_piece(received)) {
                 attempt.detail = "answer's body: " + error.message();
                 attempt.connection_broke = !this->is_cancelled();
                 co_return this->end_of_broken_answer();
             }
-            this->note_events(came);
-            piece += this->splits_events ? this->events.take(came) : came;
-            if (!is_held && !piece.empty())
+            this->measure_event_rate(received);
+            piece += this->splits_events ? this->events.append(received) : received;
+            if (!is_buffered && !piece.empty())
                 break;
         }
         if (this->call->is_done() && this->splits_events)
-            piece += this->events.rest();
-        this->note_first_piece(attempt);
+            piece += this->events.partial_event();
+        this->record_first_piece(attempt);
         out += this->framed(piece);
         if (this->call->is_done() && this->framing == Adapter::BodyFraming::Chunked)
             out += last_chunk;
@@ -314,46 +314,46 @@
     return fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
 }
 
-void RequestExchange::note_first_piece(Attempt const& attempt)
+void RequestExchange::record_first_piece(Attempt const& attempt)
 {
     if (this->answer_begun)
         return;
     auto const now = monotonic_now();
     // NOTE: An engine begins a request with its first token; a plain service answers when it is done.
-    this->count_begun(this->admitted->is_engine ? now : attempt.started);
+    this->count_started(this->admitted->is_engine ? now : attempt.started);
     this->state.router.attempt_answered(*this->admitted, attempt.placed.choice, now - attempt.started, now);
     this->state.metrics.observe_first_byte(this->admitted->route->name, now - this->arrived);
 }
 
-void RequestExchange::note_events(std::string_view came)
+void RequestExchange::measure_event_rate(std::string_view received)
 {
     if (!this->admitted->is_engine || this->admitted->route->kind != RouteKind::Streaming)
         return;
-    auto const stretch = this->pace.take(came, monotonic_now());
+    auto const sample = this->event_rate.add(received, monotonic_now());
     auto const* const service = this->admitted->configuration->find_service(this->admitted->service);
-    if (stretch && service != nullptr && service->engine)
+    if (sample && service != nullptr && service->engine)
         this->state.router.answer_went_on(
-            *this->admitted, stretch->events * service->engine->tokens_per_event, stretch->taken);
+            *this->admitted, sample->events * service->engine->tokens_per_event, sample->duration);
 }
 
 Task<bool> RequestExchange::send_to_client(std::string const& bytes)
 {
     // NOTE: Work that may not be repeated goes on without its client, and its answer has nowhere to go.
-    if (this->has_left)
+    if (this->has_client_left)
         co_return true;
     auto const [error, written] = co_await asio::async_write(*this->client.socket, asio::buffer(bytes), as_value);
     if (error) {
         this->client_is_broken = true;
         this->client_left();
     }
-    co_return !error || this->has_left;
+    co_return !error || this->has_client_left;
 }
 
 Task<void> RequestExchange::answer(unsigned status, Reason reason, std::optional<Core::Duration> retry_after)
 {
     this->keeps_client = this->keeps_client && !this->state.is_stopping;
     this->state.metrics.count_refusal(reason);
-    auto const bytes = Adapter::encode_own_answer({ status, this->attempt_id, reason, retry_after, this->keeps_client,
+    auto const bytes = Adapter::encode_local_answer({ status, this->attempt_id, reason, retry_after, this->keeps_client,
         this->request.method() == http::verb::head });
     this->log_end(status, reason);
     co_await this->send_to_client(bytes);
@@ -367,7 +367,7 @@
 Task<void> RequestExchange::give_up(Reason why, std::optional<Core::Duration> retry_after)
 {
     if (!this->may_have_run) {
-        co_await this->answer(status_unavailable, why, retry_after.value_or(come_back_after_refusal));
+        co_await this->answer(status_unavailable, why, retry_after.value_or(retry_after_refusal));
         co_return;
     }
     co_await this->answer(this->has_expired ? status_gateway_timeout : status_bad_gateway, why, {});
@@ -375,13 +375,13 @@
 
 void RequestExchange::client_left()
 {
-    this->has_left = true;
+    this->has_client_left = true;
     bool const may_be_cancelled = !this->admitted || this->admitted->route->kind != RouteKind::NonIdempotent;
     if (may_be_cancelled)
         this->cancel_attempt();
 }
 
-bool RequestExchange::woke()
+bool RequestExchange::after_suspension()
 {
     if (!this->admitted || this->is_finished || this->has_expired)
         return false;
@@ -403,22 +403,22 @@
 
 void RequestExchange::arm_silence_limit()
 {
-    this->was_silent = false;
+    this->was_endpoint_silent = false;
     auto const& route = *this->admitted->route;
     bool const may_go_elsewhere = route.kind == RouteKind::Idempotent && this->sent_attempts < route.max_attempts
         && route.goal > Core::Duration { 0 };
     if (!may_go_elsewhere)
         return;
     this->awaits_head = true;
-    this->silence.expires_after(Core::from_seconds(Core::to_seconds(route.goal) * silence_in_targets));
-    this->silence.async_wait([weak = this->weak_from_this(), watched = this->call](error_code cancelled) {
+    this->silence.expires_after(Core::from_seconds(Core::to_seconds(route.goal) * silence_per_goal));
+    this->silence.async_wait([weak = this->weak_from_this(), timed_call = this->call](error_code cancelled) {
         auto const self = weak.lock();
         // NOTE: After a stall of the event loop this handler may be queued behind the answer that it waits for, and
         // then it can't be cancelled. It cut answers that had begun, one or two on a day with two large configurations.
-        if (cancelled || !self || self->call != watched || !self->awaits_head)
+        if (cancelled || !self || self->call != timed_call || !self->awaits_head)
             return;
-        self->was_silent = true;
-        watched->abort();
+        self->was_endpoint_silent = true;
+        timed_call->abort();
     });
 }
 
--- a/Libraries/LibGateway/RequestExchange.h
+++ b/Libraries/LibGateway/RequestExchange.h
@@ -2,7 +2,7 @@
 
 #include <LibGateway/EndpointCall.h>
 #include <LibGateway/EndpointCheck.h>
-#include <LibGateway/EventPace.h>
+#include <LibGateway/EventRateMeter.h>
 #include <LibGateway/EventSplitter.h>
 #include <LibRouting/RequestFingerprint.h>
 
@@ -49,11 +49,11 @@
     /// Crashes of the request that were known when this run began.
     unsigned known_crashes { 0 };
     /// What the endpoint said it takes; nothing where it said none or what can't be read.
-    std::optional<double> told_per_second;
+    std::optional<double> reported_rate_limit;
     /// The endpoint said that it is about to end.
-    bool told_draining { false };
+    bool reported_draining { false };
     /// How long the endpoint wants nothing from this box, if it said so.
-    std::optional<Core::Duration> told_backoff;
+    std::optional<Core::Duration> reported_backoff;
     /// What broke, in words; empty if nothing did.
     std::string detail;
 };
@@ -67,7 +67,7 @@
     /// Serves the request; true if the client's connection may carry another one.
     [[nodiscard]] Task<bool> run();
     /// The box was suspended: what is left of the request's time is shorter than its timer says. True if it is over.
-    [[nodiscard]] bool woke();
+    [[nodiscard]] bool after_suspension();
     /// The client closed its connection. Work that may not be repeated is left to finish; all else is cancelled.
     void client_left();
 
@@ -81,17 +81,17 @@
     [[nodiscard]] Task<void> end_unplaced(Routing::Rejected const& rejected);
     [[nodiscard]] Task<AttemptEnd> try_endpoint(Attempt& attempt);
     void send_request(Attempt const& attempt);
-    [[nodiscard]] Task<AttemptEnd> converse(Attempt& attempt);
-    [[nodiscard]] Task<AttemptEnd> pass_answer(Attempt& attempt);
+    [[nodiscard]] Task<AttemptEnd> send_and_receive(Attempt& attempt);
+    [[nodiscard]] Task<AttemptEnd> forward_answer(Attempt& attempt);
     /// Passes the body on behind the head that `out` holds, or behind what was passed on before.
-    [[nodiscard]] Task<AttemptEnd> pass_body(Attempt& attempt, std::string out, bool is_held);
+    [[nodiscard]] Task<AttemptEnd> forward_body(Attempt& attempt, std::string out, bool is_buffered);
     [[nodiscard]] AttemptEnd end_of_broken_answer() const;
     [[nodiscard]] std::string framed(std::string const& piece);
-    void note_first_piece(Attempt const& attempt);
+    void record_first_piece(Attempt const& attempt);
     /// An endpoint began the request at that moment. It counts once, also where another one goes on with it.
-    void count_begun(Core::Instant at);
+    void count_started(Core::Instant at);
     /// Tells the router how fast the events of an engine's answer come.
-    void note_events(std::string_view came);
+    void measure_event_rate(std::string_view received);
     /// False if the client can't be reached any more and the work is not worth going on with.
     [[nodiscard]] Task<bool> send_to_client(std::string const& bytes);
     [[nodiscard]] Task<void> answer(unsigned status, Core::Reason reason, std::optional<Core::Duration> retry_after);
@@ -103,45 +103,45 @@
     /// Ends an attempt of which nothing has come after a while, if the request may go to another endpoint instead.
     void arm_silence_limit();
     void cancel_attempt();
-    [[nodiscard]] bool is_cancelled() const { return this->has_expired || this->has_left; }
+    [[nodiscard]] bool is_cancelled() const { return this->has_expired || this->has_client_left; }
     [[nodiscard]] bool may_try_again(AttemptEnd end);
     /// Whether an endpoint's own failure is retried in place of passing it on. Spends from the retry budget.
-    [[nodiscard]] bool failure_may_be_withheld();
+    [[nodiscard]] bool may_retry_failure();
     [[nodiscard]] Core::Reason reason_for_giving_up() const;
     [[nodiscard]] Core::Reason retry_reason(AttemptEnd end) const;
     [[nodiscard]] Routing::AttemptResult result_of(Attempt const& attempt, AttemptEnd end) const;
     void record_attempt(Attempt const& attempt, AttemptEnd end, Core::Instant now);
     /// Finds out what became of an endpoint that broke its connection, and notes it if it crashed. True if it did.
-    [[nodiscard]] Task<bool> examine_break(Attempt attempt);
+    [[nodiscard]] Task<bool> check_broken_connection(Attempt attempt);
     /// The same beside the answer to the client.
-    void examine_break_later(Attempt const& attempt);
+    void check_broken_connection_in_background(Attempt const& attempt);
     /// Whether the request is left alone after this attempt, since another endpoint crashed under it before.
     [[nodiscard]] Task<bool> has_crashed_again(Attempt const& attempt);
     /// Keeps other runs of a request under which endpoints crashed from beginning until this one has shown something.
     void begin_probe();
     void end_probe();
     /// Tells what the run says of the request and of the endpoint, for later requests.
-    void note_run(Attempt const& attempt, AttemptEnd end);
-    void log_break(Attempt const& attempt, EndpointFinding finding) const;
+    void report_run(Attempt const& attempt, AttemptEnd end);
+    void log_broken_connection(Attempt const& attempt, EndpointCheckResult check_result) const;
     void log_placement(Attempt const& attempt) const;
     void log_end(unsigned status, Core::Reason reason) const;
 
     /// Sends that failed before any byte left are tried elsewhere this often at the most, not counting endpoints whose
     /// host refuses the connection.
-    static constexpr unsigned most_unsent_attempts = 3;
+    static constexpr unsigned max_unsent_attempts = 3;
     /// Answers up to this size are read whole before they are passed on, so that a broken one can be retried.
-    static constexpr std::uint64_t largest_held_answer = 64 * 1024;
+    static constexpr std::uint64_t max_buffered_answer_bytes = 64 * 1024;
     /// An idempotent call that is silent for this many times its target is tried elsewhere: endpoints that fall silent
     /// answer nothing before the client gives up, and calls that take that long are one in a hundred.
-    static constexpr double silence_in_targets = 1.5;
+    static constexpr double silence_per_goal = 1.5;
     /// When a client may come back that this box sends to another one: at once, as far as this box is concerned.
-    static constexpr Core::Duration come_back_elsewhere { std::chrono::milliseconds(20) };
+    static constexpr Core::Duration retry_after_draining { std::chrono::milliseconds(20) };
     /// When a client may come back to a box that has just started.
-    static constexpr Core::Duration come_back_after_start { std::chrono::milliseconds(150) };
+    static constexpr Core::Duration retry_after_start { std::chrono::milliseconds(150) };
     /// When a client may come back whose request another run of it decides about: about the time of a run.
-    static constexpr Core::Duration come_back_after_probe { std::chrono::milliseconds(300) };
+    static constexpr Core::Duration retry_after_probe { std::chrono::milliseconds(300) };
     /// When a client may come back after an endpoint refused its request: a few service times.
-    static constexpr Core::Duration come_back_after_refusal { std::chrono::milliseconds(150) };
+    static constexpr Core::Duration retry_after_refusal { std::chrono::milliseconds(150) };
 
     GatewayState& state;
     Request request;
@@ -155,7 +155,7 @@
     asio::steady_timer silence;
     std::shared_ptr<EndpointCall> call;
     EventSplitter events;
-    EventPace pace;
+    EventRateMeter event_rate;
     Adapter::BodyFraming framing { Adapter::BodyFraming::Empty };
     std::vector<Core::EndpointId> tried;
     unsigned sent_attempts { 0 };
@@ -164,14 +164,14 @@
     /// Whether any endpoint may have run the request.
     bool may_have_run { false };
     bool has_expired { false };
-    bool has_left { false };
-    bool was_silent { false };
+    bool has_client_left { false };
+    bool was_endpoint_silent { false };
     /// Endpoints crashed under this request, so it goes to no other one.
     bool crashes_endpoints { false };
     /// Whether this run decides about the request, and no other one begins.
     bool is_probe { false };
     /// Whether a broken connection is being examined beside the answer to the client.
-    bool examines_break { false };
+    bool checks_connection { false };
     /// Whether the limit on the endpoint's silence still holds.
     bool awaits_head { false };
     bool client_is_broken { false };
--- a/Libraries/LibGateway/StoreConnection.cpp
+++ b/Libraries/LibGateway/StoreConnection.cpp
@@ -24,7 +24,7 @@
 Task<std::optional<StoreAnswer>> StoreConnection::call_within(
     std::string const& request, CallTimeouts timeouts, Core::LastReason& last_reason)
 {
-    auto const watch = std::make_shared<CallWatch>(this->context, timeouts, [this] { this->abort(); });
+    auto const watch = std::make_shared<CallWatchdog>(this->context, timeouts, [this] { this->abort(); });
     watch->start();
     StoreAnswer answer;
     auto const error = co_await this->call(request, *watch, answer);
@@ -37,10 +37,10 @@
     co_return std::nullopt;
 }
 
-std::string StoreConnection::failure_text(error_code error, CallWatch const& watch) const
+std::string StoreConnection::failure_text(error_code error, CallWatchdog const& watch) const
 {
     auto const what = watch.has_timed_out() ? std::string("no answer in time") : error.message();
-    auto const milliseconds = Core::to_milliseconds(watch.taken());
+    auto const milliseconds = Core::to_milliseconds(watch.elapsed());
     if (this->progress.received_bytes == 0)
         return fmt::format("{}: nothing came in {:.0f} ms", what, milliseconds);
     auto const body = this->progress.body_bytes ? std::to_string(*this->progress.body_bytes) : "unknown";
@@ -60,7 +60,7 @@
 {
     this->socket = std::make_shared<tcp::socket>(this->context);
     this->buffer.clear();
-    auto const place = to_socket_address(this->address);
+    auto const place = to_tcp_endpoint(this->address);
     if (!place)
         co_return asio::error::invalid_argument;
     auto const kept = this->socket;
@@ -73,7 +73,7 @@
     co_return error_code {};
 }
 
-Task<error_code> StoreConnection::call(std::string const& request, CallWatch& watch, StoreAnswer& answer)
+Task<error_code> StoreConnection::call(std::string const& request, CallWatchdog& watch, StoreAnswer& answer)
 {
     this->progress = {};
     if (this->connected_to != this->address)
@@ -89,7 +89,7 @@
     co_return co_await this->read_answer(*kept, watch, answer);
 }
 
-Task<error_code> StoreConnection::read_answer(tcp::socket& kept, CallWatch& watch, StoreAnswer& answer)
+Task<error_code> StoreConnection::read_answer(tcp::socket& kept, CallWatchdog& watch, StoreAnswer& answer)
 {
     http::response_parser<http::string_body> parser;
     parser.body_limit(largest_answer);
@@ -99,7 +99,7 @@
         if (error)
             co_return error;
         this->progress.received_bytes += read;
-        watch.progressed();
+        watch.on_progress();
         if (auto const length = parser.content_length())
             this->progress.body_bytes = *length;
     }
--- a/Libraries/LibGateway/StoreConnection.h
+++ b/Libraries/LibGateway/StoreConnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/CallWatch.h>
+#include <LibGateway/CallWatchdog.h>
 
 namespace Gateway {
 
@@ -49,9 +49,9 @@
     [[nodiscard]] Task<error_code> connect();
     [[nodiscard]] Task<std::optional<StoreAnswer>> call_within(
         std::string const& request, CallTimeouts timeouts, Core::LastReason& last_reason);
-    [[nodiscard]] Task<error_code> call(std::string const& request, CallWatch& watch, StoreAnswer& answer);
-    [[nodiscard]] Task<error_code> read_answer(tcp::socket& kept, CallWatch& watch, StoreAnswer& answer);
-    [[nodiscard]] std::string failure_text(error_code error, CallWatch const& watch) const;
+    [[nodiscard]] Task<error_code> call(std::string const& request, CallWatchdog& watch, StoreAnswer& answer);
+    [[nodiscard]] Task<error_code> read_answer(tcp::socket& kept, CallWatchdog& watch, StoreAnswer& answer);
+    [[nodiscard]] std::string failure_text(error_code error, CallWatchdog const& watch) const;
 
     /// A configuration with thousands of routes takes about half a megabyte.
     static constexpr std::uint64_t largest_answer = 16 * 1024 * 1024;
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -191,7 +191,7 @@
     Core::LastReason reason;
     auto answer = co_await this->connection.get(target, { wait + first_byte_timeout, idle_timeout }, reason);
     this->state.metrics.count_store_bytes(this->connection.last_progress().received_bytes);
-    this->is_unanswered = !answer || (answer->status != status_ok && !Adapter::says_gone(answer->status));
+    this->is_unanswered = !answer || (answer->status != status_ok && !Adapter::is_gone(answer->status));
     if (!answer) {
         this->state.metrics.count_store_call(to_string(this->topic), "no-answer");
         this->note_failure(reason.text);
@@ -206,7 +206,7 @@
         this->note_answer();
         co_return answer;
     }
-    if (Adapter::says_gone(answer->status)) {
+    if (Adapter::is_gone(answer->status)) {
         Log::EventLine("store_history_gone").with("topic", to_string(this->topic)).info();
         this->records.set_next(this->topic, std::nullopt);
         co_return std::nullopt;
--- a/Libraries/LibGateway/StoreFollower.h
+++ b/Libraries/LibGateway/StoreFollower.h
@@ -35,7 +35,7 @@
     struct Pace {
         /// How long a read waits at the store for something new.
         Core::Duration wait;
-        /// Pause after a read, so that many small changes cost one call.
+        /// InterruptibleTimer after a read, so that many small changes cost one call.
         Core::Duration pause;
     };
     /// How this box reads for itself, and how it does while other boxes rely on it.
@@ -56,7 +56,7 @@
     void stop();
     void set_address(Routing::SocketAddress address) { this->connection.set_address(std::move(address)); }
     /// Ends a pause, since who reads the store may have changed.
-    void wake() { this->pause.end(); }
+    void wake() { this->pause.interrupt(); }
     /// The box was suspended: the next read doesn't wait at the store.
     void woke();
     /// Reads once even while a relay tells what the store says.
@@ -96,7 +96,7 @@
     OnReturn on_return;
     StoreConnection connection;
     StoreLink link;
-    Pause pause;
+    InterruptibleTimer pause;
     /// The next read doesn't wait at the store: what this box knows is old already, after a rest or a long transfer.
     /// With the wait, a box whose transfer took its lease would refuse on although the new version is in force.
     bool asks_at_once { false };
--- a/Libraries/LibGateway/UsageReporter.cpp
+++ b/Libraries/LibGateway/UsageReporter.cpp
@@ -177,7 +177,7 @@
         .with("outcome", is_taken ? "taken" : outcome)
         .info();
     this->state.metrics.count_usage_report(is_taken ? "taken" : answer ? "refused" : "no-answer");
-    bool const is_superseded = answer && Adapter::says_conflict(answer->status);
+    bool const is_superseded = answer && Adapter::is_conflict(answer->status);
     this->note_platform(is_taken || is_superseded, monotonic_now());
     if (is_superseded)
         co_await this->leadership.was_superseded();
--- a/Libraries/LibMembership/ControlSource.h
+++ b/Libraries/LibMembership/ControlSource.h
@@ -85,11 +85,11 @@
     /// knows nothing yet leaves a relay sooner still: one that lives answers within some 10 ms, one that has no power
     /// yet says nothing, and the box refuses its clients until it knows something.
     [[nodiscard]] Duration patience_with(BoxRecord const& relay, Instant now) const;
-    /// Pause after so many readings of a list of boxes that holds this one. A box that has a relay reads it seldom, and
-    /// the more seldom the more boxes there are. One that reads the store itself looks soon, since it may have started
-    /// a moment before the others: it would stay a reader beside the one of all.
+    /// InterruptibleTimer after so many readings of a list of boxes that holds this one. A box that has a relay reads
+    /// it seldom, and the more seldom the more boxes there are. One that reads the store itself looks soon, since it
+    /// may have started a moment before the others: it would stay a reader beside the one of all.
     [[nodiscard]] Duration list_pause(unsigned readings, Instant now) const;
-    /// Pause after so many failed reads of the store in a row.
+    /// InterruptibleTimer after so many failed reads of the store in a row.
     [[nodiscard]] Duration retry_pause(unsigned failures, Instant now) const;
     /// Whether a box that gets no answer from the store goes on trying it for the endpoints alone, and for the
     /// configuration when that was answered, which spares the store a part of the calls of hundreds of boxes. The boxes
@@ -98,7 +98,7 @@
     /// Longest time for a relay's whole answer: one that takes longer is too old to be used when it has come, since it
     /// vouches for no later moment than its question.
     [[nodiscard]] Duration longest_answer() const { return this->oldest(); }
-    /// Pause between a relay's reads of the endpoints.
+    /// InterruptibleTimer between a relay's reads of the endpoints.
     [[nodiscard]] Duration read_interval() const { return this->tightest() / 5; }
     /// Longest wait of a relay's read of the configuration. What an answer vouches for is as old as the read is long,
     /// and stays in use for as long again; this leaves room for a store that takes a quarter of a second.
--- a/Libraries/LibRouting/PromptMemory.cpp
+++ b/Libraries/LibRouting/PromptMemory.cpp
@@ -14,7 +14,7 @@
         this->by_id.emplace(part.id, this->newest_first.begin());
     }
     while (!this->newest_first.empty()
-        && (this->by_id.size() > most_parts || now - this->newest_first.back().used_at > believed_kept)) {
+        && (this->by_id.size() > max_parts || now - this->newest_first.back().used_at > believed_kept)) {
         this->by_id.erase(this->newest_first.back().id);
         this->newest_first.pop_back();
     }
--- a/Libraries/LibRouting/PromptMemory.h
+++ b/Libraries/LibRouting/PromptMemory.h
@@ -28,7 +28,7 @@
     /// at its usual load and keeps 290,000.
     static constexpr Duration believed_kept { std::chrono::seconds(10) };
     /// Bounds the memory for one endpoint to some 60 KB.
-    static constexpr std::size_t most_parts = 512;
+    static constexpr std::size_t max_parts = 512;
 
     struct Kept {
         std::uint64_t id { 0 };
--- a/Libraries/LibRouting/RequestRouter.cpp
+++ b/Libraries/LibRouting/RequestRouter.cpp
@@ -159,7 +159,7 @@
 {
     auto configuration = this->configuration();
     if (!configuration)
-        return Rejected { Reason::ConfigurationMissing, come_back_after_start };
+        return Rejected { Reason::ConfigurationMissing, retry_after_start };
     auto const* const route = configuration->find_route(head.host, head.target);
     if (auto const refusal = this->refuse_by_lease(route, now))
         return *refusal;
--- a/Libraries/LibRouting/RequestRouter.h
+++ b/Libraries/LibRouting/RequestRouter.h
@@ -213,7 +213,7 @@
     static constexpr Duration come_back_after_gap { std::chrono::milliseconds(500) };
     /// When a client may come back to a box that has just started and has no configuration yet: it reads one within
     /// some 50 ms.
-    static constexpr Duration come_back_after_start { std::chrono::milliseconds(150) };
+    static constexpr Duration retry_after_start { std::chrono::milliseconds(150) };
     /// When a client may come back to a service whose endpoints are full: a few service times.
     static constexpr Duration come_back_when_full { std::chrono::milliseconds(150) };
     /// With reports as frequent as this a box compares all engines; with rarer ones a part that is as much smaller.
--- a/Programs/standin/Server.cpp
+++ b/Programs/standin/Server.cpp
@@ -60,7 +60,7 @@
         if (this->running >= FLAGS_server_slots)
             co_return co_await session->answer(503, "", "X-Not-Executed: 1\r\n");
         ++this->running;
-        this->note_run(request, attempt);
+        this->report_run(request, attempt);
         if (!FLAGS_crash_on.empty() && request.body().find(FLAGS_crash_on) != std::string::npos) {
             co_await Gateway::sleep_for(std::chrono::milliseconds(FLAGS_crash_after_ms));
             std::_Exit(EXIT_FAILURE);
@@ -89,7 +89,7 @@
         return "{}";
     }
 
-    void note_run(Request const& request, std::string const& attempt)
+    void report_run(Request const& request, std::string const& attempt)
     {
         auto& run = this->runs.try_emplace(attempt, json::object()).first->second;
         run["count"] = run.value("count", 0) + 1;
@@ -153,7 +153,7 @@
         body += FLAGS_incarnation + value;
         auto const colon = FLAGS_store.find(':');
         tcp::socket socket(this->context);
-        auto const place = Gateway::to_socket_address(
+        auto const place = Gateway::to_tcp_endpoint(
             { FLAGS_store.substr(0, colon), static_cast<std::uint16_t>(std::stoi(FLAGS_store.substr(colon + 1))) });
         auto const [connect_error] = co_await socket.async_connect(*place, Gateway::as_value);
         if (connect_error)
--- a/Tests/LibGateway/ScriptedExchange.h
+++ b/Tests/LibGateway/ScriptedExchange.h
@@ -44,7 +44,7 @@
         }
     }
     /// How many whole heads have arrived.
-    [[nodiscard]] int heads() const
+    [[nodiscard]] int head_count() const
     {
         int count = 0;
         for (auto const& connection : this->connections) {
@@ -145,12 +145,12 @@
         return this->reach([this] { return this->has_ended; }) && this->reach_silence();
     }
     /// The index of the endpoint that got the request.
-    std::size_t arrival()
+    std::size_t wait_for_arrival()
     {
         std::size_t where = 0;
         REQUIRE(this->reach([&] {
             for (where = 0; where < this->endpoints.size(); ++where) {
-                if (this->endpoints[where]->heads() > 0 && !this->answered.contains(where))
+                if (this->endpoints[where]->head_count() > 0 && !this->answered.contains(where))
                     return true;
             }
             return false;
@@ -158,11 +158,11 @@
         this->answered.insert(where);
         return where;
     }
-    [[nodiscard]] int arrivals() const
+    [[nodiscard]] int arrival_count() const
     {
         int count = 0;
         for (auto const& endpoint : this->endpoints)
-            count += endpoint->heads();
+            count += endpoint->head_count();
         return count;
     }
 
--- a/Tests/LibGateway/TestCallerConnection.cpp
+++ b/Tests/LibGateway/TestCallerConnection.cpp
@@ -1,7 +1,7 @@
 #include <TestMain.h>
 
 #include "LoopbackPair.h"
-#include <LibGateway/CallerConnection.h>
+#include <LibGateway/ClientConnection.h>
 #include <thread>
 
 namespace {
@@ -13,9 +13,9 @@
     Connection()
         : state(this->context, Routing::RouterSettings {}, 1)
         , sockets(this->context)
-        , caller(std::make_shared<CallerConnection>(this->state, std::move(this->sockets.near)))
+        , caller(std::make_shared<ClientConnection>(this->state, std::move(this->sockets.near)))
     {
-        this->state.most_body_bytes = 1024 * 1024;
+        this->state.max_held_body_bytes = 1024 * 1024;
         asio::co_spawn(
             this->context, [caller = this->caller] { return caller->run(); }, asio::detached);
     }
@@ -39,7 +39,7 @@
     asio::io_context context;
     GatewayState state;
     LoopbackPair sockets;
-    std::shared_ptr<CallerConnection> caller;
+    std::shared_ptr<ClientConnection> caller;
     std::string received;
 };
 
@@ -53,7 +53,7 @@
         , at_endpoint(this->context)
         , sockets(this->context)
     {
-        this->state.most_body_bytes = 1024 * 1024;
+        this->state.max_held_body_bytes = 1024 * 1024;
         Routing::Configuration configuration;
         configuration.version = 1;
         configuration.limits.header_timeout = idle;
@@ -72,7 +72,7 @@
         this->state.router.put_endpoint(
             { "i", "desk", { "127.0.0.1", this->endpoint.local_endpoint().port() }, "hall", 6, false });
         this->endpoint.non_blocking(true);
-        this->caller = std::make_shared<CallerConnection>(this->state, std::move(this->sockets.near));
+        this->caller = std::make_shared<ClientConnection>(this->state, std::move(this->sockets.near));
         asio::co_spawn(
             this->context, [caller = this->caller] { return caller->run(); }, asio::detached);
     }
@@ -103,7 +103,7 @@
     tcp::acceptor endpoint;
     tcp::socket at_endpoint;
     LoopbackPair sockets;
-    std::shared_ptr<CallerConnection> caller;
+    std::shared_ptr<ClientConnection> caller;
 };
 
 constexpr std::string_view head = "POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 7\r\nContent-Length: 10\r\n\r\n";
--- a/Tests/LibGateway/TestCrashedEndpoint.cpp
+++ b/Tests/LibGateway/TestCrashedEndpoint.cpp
@@ -25,12 +25,12 @@
     Membership::CrashMessage message;
     message.crashes.push_back(
         { { fingerprint(body), { "elsewhere", 1 }, crashes }, Core::Duration { std::chrono::seconds(1) } });
-    request.state.crash_news.hear(message);
+    request.state.crash_exchange.hear(message);
 }
 
 unsigned crashes_known(Exchange const& request, std::string const& body)
 {
-    return request.state.crash_news.verdict(fingerprint(body)).crashes;
+    return request.state.crash_exchange.verdict(fingerprint(body)).crashes;
 }
 
 }
@@ -41,7 +41,7 @@
     {
         Exchange request(RouteKind::NonIdempotent, 1, 2);
         request.start("body");
-        crash(*request.endpoints[request.arrival()]);
+        crash(*request.endpoints[request.wait_for_arrival()]);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 502 "));
         CHECK(request.reach([&] { return crashes_known(request, "body") == 1; }));
@@ -51,7 +51,7 @@
     {
         Exchange request(RouteKind::Streaming, 1, 2);
         request.start("body");
-        auto const index = request.arrival();
+        auto const index = request.wait_for_arrival();
         request.endpoints[index]->answer(stream_head);
         REQUIRE(request.reach([&] { return !request.endpoints[index]->connections.empty(); }));
         crash(*request.endpoints[index]);
@@ -64,8 +64,8 @@
 {
     Exchange request(RouteKind::Idempotent, 2, 2);
     request.start("body");
-    request.endpoints[request.arrival()]->close();
-    request.endpoints[request.arrival()]->answer(whole_answer);
+    request.endpoints[request.wait_for_arrival()]->close();
+    request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
     CHECK(crashes_known(request, "body") == 0);
@@ -75,7 +75,7 @@
 {
     Exchange request(RouteKind::NonIdempotent, 1, 1);
     request.start("body");
-    auto const index = request.arrival();
+    auto const index = request.wait_for_arrival();
     auto const port = request.endpoints[index]->acceptor.local_endpoint().port();
     request.state.router.put_endpoint({ "i-0", "desk", { "127.0.0.1", port }, "hall", 6, true });
     crash(*request.endpoints[index]);
@@ -91,8 +91,8 @@
     {
         Exchange request(RouteKind::Idempotent, 2, 2);
         request.start("body");
-        crash(*request.endpoints[request.arrival()]);
-        request.endpoints[request.arrival()]->answer(whole_answer);
+        crash(*request.endpoints[request.wait_for_arrival()]);
+        request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
         // The run that ended well clears it.
@@ -103,11 +103,11 @@
         Exchange request(RouteKind::Idempotent, 2, 2);
         hold_against(request, "body", 1);
         request.start("body");
-        crash(*request.endpoints[request.arrival()]);
+        crash(*request.endpoints[request.wait_for_arrival()]);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 502 "));
         CHECK(request.received.find("Retry-After") == std::string::npos);
-        CHECK(request.arrivals() == 1);
+        CHECK(request.arrival_count() == 1);
         CHECK(crashes_known(request, "body") == 2);
     }
 }
@@ -122,12 +122,12 @@
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 503 "));
         CHECK(request.received.find("Retry-After: 59") != std::string::npos);
-        CHECK(request.arrivals() == 0);
+        CHECK(request.arrival_count() == 0);
     }
     SUBCASE("another one of the same caller")
     {
         request.start("other body");
-        request.endpoints[request.arrival()]->answer(whole_answer);
+        request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
     }
@@ -139,19 +139,19 @@
     hold_against(request, "body", 1);
     Membership::CrashMessage message;
     message.probed.push_back(fingerprint("body"));
-    request.state.crash_news.hear(message);
+    request.state.crash_exchange.hear(message);
     SUBCASE("that request")
     {
         request.start("body");
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 503 "));
         CHECK(request.received.find("Retry-After: 0.3") != std::string::npos);
-        CHECK(request.arrivals() == 0);
+        CHECK(request.arrival_count() == 0);
     }
     SUBCASE("another one of the same caller")
     {
         request.start("other body");
-        request.endpoints[request.arrival()]->answer(whole_answer);
+        request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
     }
@@ -162,8 +162,8 @@
     Exchange request(RouteKind::NonIdempotent, 1, 2);
     hold_against(request, "body", 1);
     request.start("body");
-    auto const index = request.arrival();
-    CHECK(request.state.crash_news.verdict(fingerprint("body")).is_probed);
+    auto const index = request.wait_for_arrival();
+    CHECK(request.state.crash_exchange.verdict(fingerprint("body")).is_probed);
     SUBCASE("well")
     {
         request.endpoints[index]->answer(whole_answer);
@@ -181,5 +181,5 @@
         request.endpoints[index]->close();
         REQUIRE(request.ends());
     }
-    CHECK(request.reach([&] { return !request.state.crash_news.verdict(fingerprint("body")).is_probed; }));
+    CHECK(request.reach([&] { return !request.state.crash_exchange.verdict(fingerprint("body")).is_probed; }));
 }
--- a/Tests/LibGateway/TestEventSplitter.cpp
+++ b/Tests/LibGateway/TestEventSplitter.cpp
@@ -13,11 +13,11 @@
     for (std::size_t first = 0; first <= three.size(); ++first) {
         for (std::size_t second = first; second <= three.size(); ++second) {
             Gateway::EventSplitter splitter;
-            auto passed = splitter.take(three.substr(0, first));
-            passed += splitter.take(three.substr(first, second - first));
-            CHECK(passed + splitter.rest() == three.substr(0, second));
+            auto passed = splitter.append(three.substr(0, first));
+            passed += splitter.append(three.substr(first, second - first));
+            CHECK(passed + splitter.partial_event() == three.substr(0, second));
             CHECK((passed.empty() || passed.ends_with("\n\n") || passed.ends_with("\n\r\n")));
-            passed += splitter.take(three.substr(second));
+            passed += splitter.append(three.substr(second));
             CHECK(passed == three);
             CHECK(splitter.last_id() == "2");
         }
@@ -28,18 +28,18 @@
 {
     Gateway::EventSplitter splitter;
     CHECK_FALSE(splitter.last_id());
-    CHECK(splitter.take("id: 1\ndata: a\n\nid: 2\ndata") == "id: 1\ndata: a\n\n");
+    CHECK(splitter.append("id: 1\ndata: a\n\nid: 2\ndata") == "id: 1\ndata: a\n\n");
     CHECK(splitter.last_id() == "1");
-    splitter.drop_rest();
-    CHECK(splitter.take("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
+    splitter.discard_partial_event();
+    CHECK(splitter.append("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
     CHECK(splitter.last_id() == "2");
 }
 
 TEST_CASE("text that only looks like an id is none")
 {
     Gateway::EventSplitter splitter;
-    static_cast<void>(splitter.take("data: id: 7\nidle: 8\n\n"));
+    static_cast<void>(splitter.append("data: id: 7\nidle: 8\n\n"));
     CHECK_FALSE(splitter.last_id());
-    static_cast<void>(splitter.take("id:9\n\n"));
+    static_cast<void>(splitter.append("id:9\n\n"));
     CHECK(splitter.last_id() == "9");
 }
--- a/Tests/LibGateway/TestProbeListener.cpp
+++ b/Tests/LibGateway/TestProbeListener.cpp
@@ -1,7 +1,7 @@
 #include <TestMain.h>
 
 #include "LoopbackPair.h"
-#include <LibGateway/ProbeListener.h>
+#include <LibGateway/InternalHttpServer.h>
 #include <thread>
 
 namespace {
@@ -20,7 +20,7 @@
         , listener(
               tcp::acceptor(this->context, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
               [this](std::string_view path, std::string const& body) {
-                  return ProbeAnswer { 200, std::string(path) + " " + body + " ", this->shared };
+                  return InternalHttpResponse { 200, std::string(path) + " " + body + " ", this->shared };
               },
               16, patience)
     {
@@ -39,7 +39,7 @@
 
     asio::io_context context;
     std::shared_ptr<std::string const> shared;
-    ProbeListener listener;
+    InternalHttpServer listener;
 };
 
 }
@@ -92,10 +92,10 @@
     auto const place = acceptor.local_endpoint();
     std::size_t const bytes = 16 * 1024 * 1024;
     constexpr Core::Duration patience = std::chrono::milliseconds(600);
-    ProbeListener listener(
+    InternalHttpServer listener(
         std::move(acceptor),
         [&](std::string_view, std::string const&) {
-            ProbeAnswer answer;
+            InternalHttpResponse answer;
             answer.body = std::string(bytes, 'x');
             return answer;
         },
--- a/Tests/LibGateway/TestRelayFollower.cpp
+++ b/Tests/LibGateway/TestRelayFollower.cpp
@@ -1,7 +1,7 @@
 #include <TestMain.h>
 
 #include "ScriptedServer.h"
-#include <LibGateway/ProbeListener.h>
+#include <LibGateway/InternalHttpServer.h>
 #include <LibGateway/RelayFollower.h>
 
 namespace {
--- a/Tests/LibGateway/TestRequestRetries.cpp
+++ b/Tests/LibGateway/TestRequestRetries.cpp
@@ -11,29 +11,29 @@
     {
         Exchange request(RouteKind::NonIdempotent, 2, 2);
         request.start("body");
-        request.endpoints[request.arrival()]->close();
+        request.endpoints[request.wait_for_arrival()]->close();
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 502 "));
-        CHECK(request.arrivals() == 1);
+        CHECK(request.arrival_count() == 1);
     }
     SUBCASE("a stream that can't be resumed")
     {
         Exchange request(RouteKind::Streaming, 2, 2);
         request.start("body");
-        request.endpoints[request.arrival()]->close();
+        request.endpoints[request.wait_for_arrival()]->close();
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 502 "));
-        CHECK(request.arrivals() == 1);
+        CHECK(request.arrival_count() == 1);
     }
     SUBCASE("repeatable")
     {
         Exchange request(RouteKind::Idempotent, 2, 2);
         request.start("body");
-        request.endpoints[request.arrival()]->close();
-        request.endpoints[request.arrival()]->answer(whole_answer);
+        request.endpoints[request.wait_for_arrival()]->close();
+        request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
-        CHECK(request.arrivals() == 2);
+        CHECK(request.arrival_count() == 2);
     }
 }
 
@@ -43,8 +43,8 @@
         = "HTTP/1.1 503 Full\r\nX-Attempt-Id: 9c41\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
     Exchange request(RouteKind::NonIdempotent, 2, 2);
     request.start("body");
-    request.endpoints[request.arrival()]->answer(refusal);
-    auto const second = request.arrival();
+    request.endpoints[request.wait_for_arrival()]->answer(refusal);
+    auto const second = request.wait_for_arrival();
     SUBCASE("taken by the second")
     {
         request.endpoints[second]->answer(whole_answer);
@@ -57,7 +57,7 @@
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 503 "));
         CHECK(request.received.find("Retry-After: ") != std::string::npos);
-        CHECK(request.arrivals() == 2);
+        CHECK(request.arrival_count() == 2);
     }
 }
 
@@ -67,8 +67,8 @@
         = "HTTP/1.1 500 Oops\r\nX-Attempt-Id: 9c41\r\nX-Response-Stamp: s\r\nContent-Length: 3\r\n\r\nbad";
     Exchange request(RouteKind::Idempotent, 2, 2);
     request.start();
-    request.endpoints[request.arrival()]->answer(failure);
-    request.endpoints[request.arrival()]->answer(failure);
+    request.endpoints[request.wait_for_arrival()]->answer(failure);
+    request.endpoints[request.wait_for_arrival()]->answer(failure);
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 500 Oops\r\n"));
     CHECK(request.received.find("X-Response-Stamp: s\r\n") != std::string::npos);
@@ -81,8 +81,8 @@
     {
         Exchange request(RouteKind::Idempotent, 2, 2, false, std::chrono::milliseconds(20));
         request.start();
-        auto const silent = request.arrival();
-        request.endpoints[request.arrival()]->answer(whole_answer);
+        auto const silent = request.wait_for_arrival();
+        request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
         CHECK(request.reach([&] { return request.endpoints[silent]->connections[0]->is_closed; }));
@@ -91,12 +91,12 @@
     {
         Exchange request(RouteKind::NonIdempotent, 2, 2, false, std::chrono::milliseconds(1));
         request.start();
-        auto const slow = request.arrival();
+        auto const slow = request.wait_for_arrival();
         request.context.run_for(std::chrono::milliseconds(30));
         request.endpoints[slow]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
-        CHECK(request.arrivals() == 1);
+        CHECK(request.arrival_count() == 1);
     }
 }
 
@@ -111,7 +111,7 @@
     constexpr auto goal = std::chrono::milliseconds(20);
     Exchange request(RouteKind::Idempotent, 2, 2, false, goal);
     request.start();
-    auto& endpoint = *request.endpoints[request.arrival()];
+    auto& endpoint = *request.endpoints[request.wait_for_arrival()];
     endpoint.answer(stream_head + "2\r\nok\r\n");
     std::this_thread::sleep_for(3 * goal);
     REQUIRE(request.reach([&] { return request.received.ends_with("2\r\nok\r\n"); }));
@@ -120,15 +120,15 @@
     endpoint.answer("0\r\n\r\n");
     REQUIRE(request.ends());
     CHECK(request.received.ends_with("2\r\nok\r\n0\r\n\r\n"));
-    CHECK(request.arrivals() == 1);
+    CHECK(request.arrival_count() == 1);
 }
 
 TEST_CASE("a refusal after an attempt that may have run does not say that the request has not run")
 {
     Exchange request(RouteKind::Idempotent, 2, 2);
     request.start();
-    request.endpoints[request.arrival()]->close();
-    request.endpoints[request.arrival()]->answer(
+    request.endpoints[request.wait_for_arrival()]->close();
+    request.endpoints[request.wait_for_arrival()]->answer(
         "HTTP/1.1 503 Full\r\nX-Attempt-Id: 9c41\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 502 "));
@@ -138,12 +138,12 @@
 {
     Exchange request(RouteKind::Streaming, 2, 2, true);
     request.start();
-    auto const first = request.arrival();
+    auto const first = request.wait_for_arrival();
     // The second event is cut in its middle; the client must not see a part of it.
     request.endpoints[first]->answer(stream_head + "7\r\nid: 1\n\n\r\n5\r\nid: 2\r\n");
     REQUIRE(request.reach([&] { return request.received.find("id: 1") != std::string::npos; }));
     request.endpoints[first]->close();
-    auto const second = request.arrival();
+    auto const second = request.wait_for_arrival();
     CHECK(request.endpoints[second]->connections[0]->received.find("Last-Event-ID: 1\r\n") == std::string::npos);
     CHECK(request.endpoints[second]->connections[0]->received.find("Last-Event-Id: 1\r\n") != std::string::npos);
     SUBCASE("to its end")
@@ -175,7 +175,7 @@
 {
     Exchange request(RouteKind::Streaming, 3, 3);
     request.start();
-    auto const first = request.arrival();
+    auto const first = request.wait_for_arrival();
     bool is_begun = false;
     SUBCASE("before its head") { }
     SUBCASE("inside its first event")
@@ -194,7 +194,7 @@
     REQUIRE(request.ends());
     CHECK(request.received.starts_with(is_begun ? "HTTP/1.1 200 " : "HTTP/1.1 502 "));
     CHECK_FALSE(request.received.ends_with("0\r\n\r\n"));
-    CHECK(request.arrivals() == 1);
+    CHECK(request.arrival_count() == 1);
 }
 
 TEST_CASE("an endpoint that can't be reached costs no attempt")
@@ -218,7 +218,7 @@
             request.endpoints[index]->acceptor.close();
     }
     request.start("body");
-    REQUIRE(request.arrival() == alive);
+    REQUIRE(request.wait_for_arrival() == alive);
     request.endpoints[alive]->answer(whole_answer);
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
@@ -244,11 +244,11 @@
         // Runs up to the connect.
         request.context.poll_one();
         request.state.router.remove_endpoint("i-" + std::to_string(leaving), Core::monotonic_now());
-        auto const where = request.arrival();
+        auto const where = request.wait_for_arrival();
         CHECK(where != static_cast<std::size_t>(leaving));
         request.endpoints[where]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
-        CHECK(request.arrivals() == 1);
+        CHECK(request.arrival_count() == 1);
     }
 }
--- a/Tests/LibGateway/TestSuspension.cpp
+++ b/Tests/LibGateway/TestSuspension.cpp
@@ -23,10 +23,10 @@
 /// As the gateway does when the box wakes.
 void connect_wake(Exchange& request)
 {
-    request.state.on_wake = [&request](Core::Duration) {
+    request.state.on_suspension = [&request](Core::Duration) {
         request.state.router.woke(Core::monotonic_now());
         if (request.exchange)
-            static_cast<void>(request.exchange->woke());
+            static_cast<void>(request.exchange->after_suspension());
     };
 }
 
@@ -88,7 +88,7 @@
     Core::suspend_for_tests(length);
     request.start("body");
     if (length < bounds.apply_within) {
-        request.endpoints[request.arrival()]->answer(whole_answer);
+        request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
         REQUIRE(request.ends());
         CHECK(request.received.starts_with("HTTP/1.1 200 "));
         return;
@@ -96,7 +96,7 @@
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 503 "));
     CHECK(request.received.find("Retry-After: ") != std::string::npos);
-    CHECK(request.arrivals() == 0);
+    CHECK(request.arrival_count() == 0);
 }
 
 TEST_CASE("after waking a box serves again as soon as the store confirms what it knows")
@@ -106,11 +106,11 @@
     connect_wake(request);
     // Inside the bound for taken-away keys, so only the waking holds it back.
     Core::suspend_for_tests(seconds(3));
-    request.state.notice_suspension();
+    request.state.check_for_suspension();
     CHECK(request.state.router.trust(Core::monotonic_now()) == Routing::ConfigurationTrust::Expired);
     request.state.router.confirm_configuration(Core::monotonic_now());
     request.start("body");
-    request.endpoints[request.arrival()]->answer(whole_answer);
+    request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
 }
@@ -120,13 +120,13 @@
     Exchange request(RouteKind::NonIdempotent, 1, 1);
     connect_wake(request);
     request.start("body");
-    static_cast<void>(request.arrival());
+    static_cast<void>(request.wait_for_arrival());
     // The client waits for 30 s.
     Core::suspend_for_tests(seconds(31));
-    request.state.notice_suspension();
+    request.state.check_for_suspension();
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 504 "));
-    CHECK(request.arrivals() == 1);
+    CHECK(request.arrival_count() == 1);
 }
 
 TEST_CASE("an answer that is ready when the box wakes is delivered")
@@ -134,9 +134,9 @@
     Exchange request(RouteKind::NonIdempotent, 1, 1);
     connect_wake(request);
     request.start("body");
-    request.endpoints[request.arrival()]->answer(whole_answer);
+    request.endpoints[request.wait_for_arrival()]->answer(whole_answer);
     Core::suspend_for_tests(seconds(8));
-    request.state.notice_suspension();
+    request.state.check_for_suspension();
     REQUIRE(request.ends());
     CHECK(request.received.starts_with("HTTP/1.1 200 "));
 }
--- a/Tests/PlatformAdapter/TestLeaderCalls.cpp
+++ b/Tests/PlatformAdapter/TestLeaderCalls.cpp
@@ -105,6 +105,6 @@
     Core::LastReason reason;
     CHECK(decode_append(R"({"offset":12,"end":14})", reason) == AppendAnswer { 12, 14 });
     CHECK_FALSE(decode_append(R"({"end":14})", reason));
-    CHECK(says_end_moved(412));
-    CHECK_FALSE(says_end_moved(409));
+    CHECK(is_append_conflict(412));
+    CHECK_FALSE(is_append_conflict(409));
 }
--- a/Tests/PlatformAdapter/TestRequestCodec.cpp
+++ b/Tests/PlatformAdapter/TestRequestCodec.cpp
@@ -14,9 +14,9 @@
 
 HttpRequestHead request_head(std::string const& text)
 {
-    constexpr std::uint32_t most_header_bytes = 64 * 1024;
+    constexpr std::uint32_t max_header_bytes = 64 * 1024;
     http::request_parser<http::string_body> parser;
-    parser.header_limit(most_header_bytes);
+    parser.header_limit(max_header_bytes);
     boost::system::error_code error;
     parser.put(boost::asio::buffer(text), error);
     REQUIRE(parser.is_header_done());
@@ -212,13 +212,13 @@
     CHECK(encode_answer(head, { BodyFraming::Chunked, false })
         == "HTTP/1.1 200 Fine\r\nX-Response-Stamp: 3e1b.07\r\nx-Odd: A b\r\nTransfer-Encoding: chunked\r\n"
            "Connection: close\r\n\r\n");
-    CHECK(idle_time_told(head) == std::chrono::seconds(4));
-    CHECK_FALSE(idle_time_told(answer_head("HTTP/1.1 200 OK\r\nKeep-Alive: max=4\r\n\r\n")));
+    CHECK(decode_keep_alive_timeout(head) == std::chrono::seconds(4));
+    CHECK_FALSE(decode_keep_alive_timeout(answer_head("HTTP/1.1 200 OK\r\nKeep-Alive: max=4\r\n\r\n")));
 }
 
 TEST_CASE("an own answer names its reason and when to come back")
 {
-    auto const text = encode_own_answer({ 503, "9c41", Core::Reason::EndpointFull, milliseconds(150), false, false });
+    auto const text = encode_local_answer({ 503, "9c41", Core::Reason::EndpointFull, milliseconds(150), false, false });
     CHECK(text.starts_with("HTTP/1.1 503 Service Unavailable\r\n"));
     CHECK(contains(text, "X-Attempt-Id: 9c41\r\n"));
     CHECK(contains(text, "Retry-After: 0.150\r\n"));
--- a/Tests/PlatformAdapter/TestStoreRecords.cpp
+++ b/Tests/PlatformAdapter/TestStoreRecords.cpp
@@ -181,7 +181,7 @@
     CHECK(read->store == Routing::SocketAddress { "10.2.0.1", 3 });
     CHECK(read->stop_grace == std::chrono::seconds(8));
     CHECK(read->lease.revoke_within == std::chrono::seconds(5));
-    CHECK(read->most_sockets == 3900);
+    CHECK(read->max_sockets == 3900);
     auto loose = text;
     loose.replace(loose.find("true"), 4, "false");
     CHECK_FALSE(decode_environment(loose, reason)->lease.revoke_within.has_value());
--- a/Tests/Soak/TestSoak.cpp
+++ b/Tests/Soak/TestSoak.cpp
@@ -28,7 +28,7 @@
 /// A record of some 120 KB, which takes a narrow link 1.2 s.
 constexpr int many_routes = 700;
 /// A record that takes a narrow link 2.4 s: longer than any read waits at the store.
-constexpr int most_routes = 2 * many_routes;
+constexpr int max_route_count = 2 * many_routes;
 
 std::uint64_t from_environment(char const* name, std::uint64_t otherwise)
 {
@@ -170,7 +170,7 @@
         for (auto& proxy : this->to_store)
             proxy.set_fault(Fault::Narrow);
         this->keys.emplace_back("late");
-        this->write_configuration(most_routes);
+        this->write_configuration(max_route_count);
         this->wait_in_force();
         for (auto const* name : box_names) {
             wait_until(std::string(name) + " serves the new key", [&] {
