--- a/Libraries/LibGateway/Asio.cpp
+++ b/Libraries/LibGateway/Asio.cpp
@@ -32,13 +32,13 @@
         acceptor.listen(asio::socket_base::max_listen_connections, error);
     if (!error)
         return acceptor;
-    last_reason.text = "can't listen on " + address.host + ":" + std::to_string(address.port) + ": " + error.message();
+    last_reason.text = "cannot listen on " + address.host + ":" + std::to_string(address.port) + ": " + error.message();
     return {};
 }
 
 Task<void> close_after_answer(std::shared_ptr<tcp::socket> socket)
 {
-    // Longer than a round trip to clients; a client that goes on sending is cut off then.
+    // Longer than a round trip to clients. A client that is still sending by then is cut off.
     constexpr auto max_wait = std::chrono::milliseconds(500);
     error_code ignored;
     socket->shutdown(tcp::socket::shutdown_send, ignored);
--- a/Libraries/LibGateway/Asio.h
+++ b/Libraries/LibGateway/Asio.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// NOTE: The library's awaitable uses std::exchange without including its header.
+// NOTE: boost/asio/awaitable.hpp uses std::exchange without including <utility>.
 #include <utility>
 
 #include <boost/asio/as_tuple.hpp>
@@ -22,7 +22,7 @@
 #include <memory>
 #include <optional>
 
-/// The platform front: one event loop that carries out what Routing decides.
+/// The gateway: one event loop that accepts client requests and sends them to the endpoints that Routing chooses.
 namespace Gateway {
 
 namespace asio = boost::asio;
@@ -32,10 +32,10 @@
 using tcp = asio::ip::tcp;
 template <typename Result> using Task = asio::awaitable<Result>;
 
-/// Awaits an operation and gives its error as a value in place of throwing it.
+/// Completion token that returns the error of an operation as a value instead of throwing it.
 inline constexpr auto as_value = asio::as_tuple(asio::use_awaitable);
 
-/// Waits; true if the time passed, false if the timer was cancelled.
+/// Waits for `duration`. Returns false if the timer was cancelled.
 inline Task<bool> sleep_for(Core::Duration duration)
 {
     asio::steady_timer timer(co_await asio::this_coro::executor, duration);
@@ -43,7 +43,7 @@
     co_return !error;
 }
 
-/// A wait that can be ended early. One task waits at a time.
+/// A timer whose wait another task can end early. Only one task may wait at a time.
 class InterruptibleTimer {
 public:
     explicit InterruptibleTimer(asio::io_context& context)
@@ -54,7 +54,7 @@
     [[nodiscard]] Task<void> wait(Core::Duration duration)
     {
         this->timer.expires_after(duration);
-        // NOTE: Passed or ended early, whoever waits looks at what is true now.
+        // NOTE: The error is ignored: callers check their own condition after both an expired and an interrupted wait.
         co_await this->timer.async_wait(as_value);
     }
     void interrupt() { this->timer.cancel(); }
@@ -63,15 +63,15 @@
     asio::steady_timer timer;
 };
 
-/// The address as the sockets take it; nothing if it is not a numeric one.
+/// Converts an address for use with sockets. Returns nothing unless the host is a numeric IP address.
 [[nodiscard]] std::optional<tcp::endpoint> to_tcp_endpoint(Routing::SocketAddress const& address);
 
-/// Opens an acceptor that listens; nothing, with a reason, where that fails.
+/// Opens a listening acceptor. Returns nothing and sets `last_reason` on failure.
 [[nodiscard]] std::optional<tcp::acceptor> listen_on(
     asio::io_context& context, Routing::SocketAddress const& address, Core::LastReason& last_reason);
 
-/// Tells the client that nothing more comes and reads what it still sends for a short while, since closing with
-/// unread bytes would reset the connection and lose the answer.
+/// Shuts down the sending side and drains what the client still sends, for at most 500 ms. Closing a socket with unread
+/// bytes would reset the connection and lose the answer.
 [[nodiscard]] Task<void> close_after_answer(std::shared_ptr<tcp::socket> socket);
 
 }
--- a/Libraries/LibGateway/CallWatchdog.cpp
+++ b/Libraries/LibGateway/CallWatchdog.cpp
@@ -24,7 +24,7 @@
 {
     auto const previous = std::exchange(
         this->expires_at, std::min(monotonic_now() + this->timeouts.idle, this->started + max_call_duration));
-    // NOTE: A later end is seen when the timer ends, which costs less than a new timer for each piece.
+    // NOTE: A later expiry is checked when the timer fires, which is cheaper than resetting the timer for each piece.
     if (this->expires_at < previous)
         this->arm();
 }
@@ -38,7 +38,7 @@
 void CallWatchdog::arm()
 {
     this->timer.expires_after(this->expires_at - monotonic_now());
-    // NOTE: The handler may still be queued when the call is over and its connection is gone.
+    // NOTE: The handler may already be queued when the call ends and its connection is destroyed.
     this->timer.async_wait([self = this->shared_from_this()](error_code cancelled) {
         if (!cancelled && !self->is_over)
             self->timer_ended();
--- a/Libraries/LibGateway/CallWatchdog.h
+++ b/Libraries/LibGateway/CallWatchdog.h
@@ -6,30 +6,29 @@
 
 namespace Gateway {
 
-/// How long a call may go without progress. The whole transfer of an answer has no such limit: an answer that is given
-/// up has to be asked for again from its first byte, so a limit on the whole keeps away for ever what is longer than
-/// link times limit.
+/// How long a call may go without progress. The whole transfer has no such limit: a cancelled transfer restarts from
+/// its first byte, so an answer too large for the link to carry within the limit would never arrive.
 struct CallTimeouts {
     /// From the call to the first byte of its answer.
     Core::Duration first_byte { 0 };
-    /// Between two pieces of an answer.
+    /// Between two received pieces of an answer.
     Core::Duration idle { 0 };
 
     bool operator==(CallTimeouts const&) const = default;
 };
 
-/// Ends one call that makes no progress.
+/// Cancels a call that makes no progress.
 class CallWatchdog : public std::enable_shared_from_this<CallWatchdog> {
 public:
-    /// Ends the call under way.
+    /// Cancels the call.
     using OnTimeout = std::function<void()>;
 
     CallWatchdog(asio::io_context& context, CallTimeouts timeouts, OnTimeout on_timeout);
 
     void start();
-    /// A piece of the answer came.
+    /// Must be called for each received piece of the answer.
     void on_progress();
-    /// The call is over, and nothing is done to it any more.
+    /// Must be called when the call has ended. OnTimeout is not called afterwards.
     void finish();
     [[nodiscard]] bool has_timed_out() const { return this->timed_out; }
     [[nodiscard]] Core::Duration elapsed() const { return Core::monotonic_now() - this->started; }
@@ -38,7 +37,7 @@
     void arm();
     void timer_ended();
 
-    /// Ends an answer that comes by drops: twice the time in which 16 MB, the largest answer, cross a link of 10
+    /// Bounds an answer that trickles in: twice the transfer time of the largest answer (16 MB) over a link of 10
     /// Mbit/s.
     static constexpr Core::Duration max_call_duration { std::chrono::seconds(27) };
 
--- a/Libraries/LibGateway/ClientConnection.cpp
+++ b/Libraries/LibGateway/ClientConnection.cpp
@@ -29,7 +29,7 @@
         && error != http::error::end_of_stream && error != http::error::partial_message;
 }
 
-/// A request line and a few short headers; anything longer gets more room as it comes.
+/// Fits a request line and a few short headers. The buffer grows for longer heads.
 constexpr std::size_t typical_head_bytes = 1024;
 
 }
@@ -75,7 +75,7 @@
 {
     if (this->buffer.size() > 0)
         co_return true;
-    // NOTE: An idle connection holds no memory for reading.
+    // NOTE: Idle connections hold no read buffer.
     this->buffer.shrink_to_fit();
     this->arm_guard(this->limits().idle_timeout);
     auto const [error] = co_await this->socket.async_wait(tcp::socket::wait_read, as_value);
@@ -115,7 +115,7 @@
     }
     parser.eager(true);
     while (!parser.is_done()) {
-        // NOTE: A body may pause as long as a connection may be idle: the limits name no other time for it.
+        // NOTE: The client limits have no timeout for pauses within a body, so the idle timeout applies to them.
         this->arm_guard(this->limits().idle_timeout);
         auto const [error, bytes] = co_await http::async_read_some(this->socket, this->buffer, parser, as_value);
         if (error)
@@ -130,7 +130,7 @@
     auto const body_bytes = request.body().size();
     bool const keeps_connection = request.keep_alive();
     if (this->state.body_bytes + body_bytes > this->state.max_held_body_bytes) {
-        co_await this->answer_bad_request(status_unavailable, Reason::MemoryLimit, "too many bodies held");
+        co_await this->answer_bad_request(status_unavailable, Reason::MemoryLimit, "too many request bodies in memory");
         co_return false;
     }
     this->state.body_bytes += body_bytes;
@@ -171,7 +171,8 @@
             if (error || !served || self->request_number != armed_for)
                 return;
             error_code ignored;
-            // NOTE: Readable without bytes is the end of the connection; bytes are the client's next request.
+            // NOTE: A readable socket without bytes means that the client closed the connection. Bytes belong to its
+            // next request.
             if (self->socket.available(ignored) == 0)
                 served->client_left();
         });
@@ -208,7 +209,7 @@
     if (this->is_busy || this->buffer.size() > 0)
         return;
     error_code error;
-    // NOTE: Bytes that wait are a request, which is served first.
+    // NOTE: Unread bytes belong to a new request, which is still served.
     if (this->socket.available(error) > 0 && !error)
         return;
     this->socket.close(error);
--- a/Libraries/LibGateway/ClientConnection.h
+++ b/Libraries/LibGateway/ClientConnection.h
@@ -4,7 +4,7 @@
 
 namespace Gateway {
 
-/// One client's connection: reads requests one after the other and has each served.
+/// A client connection: reads requests one at a time and serves each through a RequestExchange.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
     ClientConnection(GatewayState& state, tcp::socket socket);
@@ -12,18 +12,18 @@
     ClientConnection(ClientConnection const&) = delete;
     ClientConnection& operator=(ClientConnection const&) = delete;
 
-    /// Serves the connection until it ends.
+    /// Serves requests until the connection is closed.
     [[nodiscard]] Task<void> run();
-    /// As RequestExchange::woke, for the request under way.
+    /// Calls RequestExchange::after_suspension for the current request. Returns false if there is none.
     [[nodiscard]] bool after_suspension();
-    /// Closes it if no request is under way.
+    /// Closes the connection unless a request is being read or served.
     void close_if_idle();
 
 private:
     using Parser = http::request_parser<http::string_body>;
 
     [[nodiscard]] Task<bool> wait_for_request();
-    /// Reads one request; false if the connection is over.
+    /// Reads one request. Returns false if the connection must be closed.
     [[nodiscard]] Task<bool> read_request(Parser& parser);
     [[nodiscard]] Task<error_code> read_head_and_body(Parser& parser);
     [[nodiscard]] Task<bool> serve_request(Parser& parser);
@@ -38,14 +38,15 @@
     tcp::socket socket;
     flat_buffer buffer;
     asio::steady_timer guard;
-    /// Changes when the guard is set anew or is over, since a handler that is queued then can't be cancelled.
+    /// Incremented when the guard is armed or disarmed. Cancelling doesn't stop a handler that is already queued, so
+    /// handlers compare this with the value they were armed with.
     std::uint64_t guard_generation { 0 };
     bool guard_fired { false };
-    /// From the first byte of a request until its answer is sent.
+    /// True from the first byte of a request until its answer is sent.
     bool is_busy { false };
-    /// The request being served. The task that serves it owns it: it holds this connection in turn.
+    /// The request being served. Weak, since the exchange itself keeps this connection alive.
     std::weak_ptr<RequestExchange> exchange;
-    /// Counts requests, so that a watch set for an earlier one knows that it is over.
+    /// Incremented when serving a request begins and ends, so that a handler for an earlier request is ignored.
     std::uint64_t request_number { 0 };
 };
 
--- a/Libraries/LibGateway/EndpointCall.cpp
+++ b/Libraries/LibGateway/EndpointCall.cpp
@@ -27,8 +27,8 @@
 {
     auto const kept_head = std::make_shared<std::string const>(std::move(head));
     std::array<asio::const_buffer, 2> const buffers { asio::buffer(*kept_head), body };
-    // NOTE: Not awaited: an endpoint may answer before it has read all of a long body. The connection may be given up
-    // before the write has ended, so the write holds it.
+    // NOTE: Not awaited, since an endpoint may answer before it has read a long body. The write keeps the connection
+    // alive, since the call may be aborted before the write ends.
     asio::async_write(this->connection->socket, buffers,
         [self = this->shared_from_this(), used = this->connection, kept_head, owner = std::move(owner)](
             error_code error, std::size_t) { self->is_written = !error; });
@@ -67,7 +67,7 @@
     auto [error, bytes]
         = co_await http::async_read_some(this->connection->socket, this->connection->buffer, *this->parser, as_value);
     piece.resize(before + piece_bytes - body.size);
-    // NOTE: The parser asks for another buffer when this one is full.
+    // NOTE: The parser reports need_buffer when the buffer is full, which is not an error here.
     if (error == http::error::need_buffer)
         error = {};
     co_return error;
--- a/Libraries/LibGateway/EndpointCall.h
+++ b/Libraries/LibGateway/EndpointCall.h
@@ -5,11 +5,11 @@
 
 namespace Gateway {
 
-/// One request on one connection to an endpoint: opens or takes the connection, sends, reads the answer, and gives the
-/// connection back if it may carry another request.
+/// One request on one connection to an endpoint: reuses or opens a connection, sends the request, reads the answer, and
+/// returns the connection to the pool if it can carry another request.
 class EndpointCall : public std::enable_shared_from_this<EndpointCall> {
 public:
-    /// `attempt` is the client's id of the request, which the endpoint echoes.
+    /// `attempt` is the client's id of the request, which the endpoint echoes in its answer.
     EndpointCall(GatewayState& state, std::string attempt, bool is_head_request)
         : state(state)
         , attempt(std::move(attempt))
@@ -17,26 +17,26 @@
     {
     }
 
-    /// Takes a kept connection or opens a new one. An error means that nothing was sent.
+    /// Reuses an idle connection or opens a new one. On an error nothing was sent.
     [[nodiscard]] Task<error_code> open(EndpointId endpoint, Routing::SocketAddress address);
-    /// Starts to send; the answer may come before all is sent. `owner` keeps the body alive.
+    /// Starts sending without waiting for the end. `owner` keeps the body alive meanwhile.
     void send(std::string head, asio::const_buffer body, std::shared_ptr<void const> owner);
-    /// Reads until the head of the answer to this request has come, past interim ones and those to other requests.
+    /// Reads the head of the answer to this request. Skips interim answers (1xx) and answers to other requests.
     [[nodiscard]] Task<error_code> read_head(Adapter::AnswerFacts& facts);
-    /// Appends what comes next of the body.
+    /// Appends the next received piece of the body to `piece`.
     [[nodiscard]] Task<error_code> read_piece(std::string& piece);
     [[nodiscard]] Task<error_code> discard_body();
-    /// Ends what is under way; safe to call at any time.
+    /// Cancels pending operations by closing the connection. Safe to call at any time.
     void abort();
-    /// Gives the connection back, or closes it if anything is left on it or under way.
+    /// Returns the connection to the pool, or closes it if it has unread bytes or an unfinished write or answer.
     void release(Core::Instant now);
 
     [[nodiscard]] Adapter::HttpAnswerHead const& head() const { return this->parser->get(); }
     [[nodiscard]] boost::optional<std::uint64_t> content_length() const { return this->parser->content_length(); }
-    /// Whether the whole answer was read.
+    /// Whether the answer was read to its end.
     [[nodiscard]] bool is_done() const { return this->parser && this->parser->is_done(); }
     [[nodiscard]] bool is_reused() const { return this->reused; }
-    /// When the connection came up. Only once open() has succeeded.
+    /// When the connection was established. Valid after open() has succeeded.
     [[nodiscard]] Core::Instant connection_opened_at() const { return this->opened_at; }
 
 private:
@@ -53,7 +53,7 @@
     bool reused { false };
     Core::Instant opened_at;
     bool is_aborted { false };
-    /// Whether the endpoint has taken all of the request.
+    /// Whether the whole request has been written.
     bool is_written { false };
 };
 
--- a/Libraries/LibGateway/EndpointCheck.h
+++ b/Libraries/LibGateway/EndpointCheck.h
@@ -4,20 +4,20 @@
 
 namespace Gateway {
 
-/// What a new connection to an endpoint shows after one that carried a request broke.
+/// Result of connecting to an endpoint again after a connection with a pending request broke.
 enum class EndpointCheckResult {
-    /// Its host refuses connections: the process has ended.
+    /// The host refuses connections: the endpoint's process has ended.
     Refuses,
-    /// It takes connections, so the one that broke says nothing of the process.
+    /// The endpoint accepts connections, so the broken connection doesn't mean that its process has ended.
     Answers,
-    /// No word came in time. The host may be gone, or the way to it.
+    /// The connection timed out or failed otherwise. The host or the network may be down.
     Unknown,
 };
 
 [[nodiscard]] std::string_view to_string(EndpointCheckResult check_result);
 
-/// Opens a connection to the endpoint. One that comes up is kept for the next request. A host that lives refuses within
-/// a round trip, some 2 ms; the connections' own limit bounds the wait for one that says nothing.
+/// Opens a connection to the endpoint and keeps it for the next request if it succeeds. A running host refuses within a
+/// round trip (about 2 ms); the connect timeout of EndpointConnections bounds the wait for an unreachable one.
 [[nodiscard]] Task<EndpointCheckResult> check_endpoint(
     GatewayState& state, Core::EndpointId endpoint, Routing::SocketAddress address);
 
--- a/Libraries/LibGateway/EndpointConnections.cpp
+++ b/Libraries/LibGateway/EndpointConnections.cpp
@@ -22,7 +22,8 @@
         kept.pop_back();
         ++connection->generation;
         error_code error;
-        // NOTE: The watch may not have run yet; bytes on an idle connection belong to no request.
+        // NOTE: The handler of close_when_readable may not have run yet. Bytes on an idle connection belong to no
+        // request.
         bool const is_silent = connection->socket.available(error) == 0 && !error;
         if (is_silent && is_fresh(*connection, now)) {
             error_code ignored;
@@ -46,7 +47,7 @@
         co_return nullptr;
     }
     asio::steady_timer timer(this->context, connect_timeout);
-    // NOTE: A handler that is queued when the connect is over can't be cancelled any more.
+    // NOTE: Cancelling doesn't stop a timer handler that is already queued when the connect completes.
     auto const is_over = std::make_shared<bool>(false);
     timer.async_wait([connection, is_over](error_code cancelled) {
         if (!cancelled && !*is_over)
@@ -89,7 +90,7 @@
 void EndpointConnections::close_expired(Core::Instant now)
 {
     for (auto& [endpoint, kept] : this->idle) {
-        // NOTE: The oldest stand in front, since the newest are used first.
+        // NOTE: The oldest connections are in front, since acquire_idle takes from the back.
         while (!kept.empty() && !is_fresh(*kept.front(), now)) {
             kept.front()->abort();
             kept.pop_front();
@@ -112,7 +113,7 @@
     using ProbeInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
     using ProbeCount = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-    // NOTE: An option that can't be set only makes a dead endpoint be noticed later, by the request's own deadline.
+    // NOTE: Errors are ignored: without an option a dead endpoint is only detected later, by the request's deadline.
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(Probing(true), ignored);
--- a/Libraries/LibGateway/EndpointConnections.h
+++ b/Libraries/LibGateway/EndpointConnections.h
@@ -10,33 +10,33 @@
 
 using Core::EndpointId;
 
-/// A connection to an endpoint. One request at a time.
+/// A connection to an endpoint. Carries one request at a time.
 struct EndpointConnection {
     explicit EndpointConnection(asio::io_context& context)
         : socket(context)
     {
     }
 
-    /// Ends what is under way on it; safe to call at any time.
+    /// Closes the socket, which cancels pending operations. Safe to call at any time.
     void abort();
 
     tcp::socket socket;
     flat_buffer buffer;
     EndpointId endpoint;
     Core::Instant opened_at;
-    /// Whether it carried a request before.
+    /// Whether the connection has carried a request before.
     bool is_reused { false };
-    /// How long the endpoint keeps it idle, as far as it told.
+    /// How long the endpoint keeps the connection open while idle, from its Keep-Alive header.
     std::optional<Core::Duration> keep_alive_timeout;
     Core::Instant idle_since;
-    /// Changes when it is taken from the pool or put back, so that a watch set earlier knows that it is over.
+    /// Incremented when the connection leaves or enters the pool, so that a handler set before is ignored.
     std::uint64_t generation { 0 };
 };
 
 using SharedConnection = std::shared_ptr<EndpointConnection>;
 
-/// Kept connections to endpoints. An idle one on which anything arrives, be it the end of the connection or an answer
-/// too many, is closed at once.
+/// Pool of idle connections to endpoints. An idle connection that becomes readable, because the endpoint closed it or
+/// sent an unexpected answer, is closed at once.
 class EndpointConnections {
 public:
     explicit EndpointConnections(asio::io_context& context)
@@ -44,31 +44,31 @@
     {
     }
 
-    /// A kept connection, the one used last; null if there is none that can be trusted.
+    /// Removes the most recently used connection from the pool. Returns null if none is usable.
     [[nodiscard]] SharedConnection acquire_idle(EndpointId endpoint, Core::Instant now);
-    /// Opens a new one; null, with the error, where that fails or takes too long.
+    /// Opens a new connection. Returns null and sets `error` on failure or timeout.
     [[nodiscard]] Task<SharedConnection> connect(
         EndpointId endpoint, Routing::SocketAddress address, error_code& error);
-    /// Keeps the connection for the next request.
+    /// Adds the connection to the pool for the next request.
     void release(SharedConnection connection, Core::Instant now);
-    /// Closes the idle connections of an endpoint that is gone.
+    /// Closes all idle connections to an endpoint.
     void close_idle(EndpointId endpoint);
-    /// Closes those that were idle for too long.
+    /// Closes connections that have been idle for too long.
     void close_expired(Core::Instant now);
 
 private:
-    /// A new connection takes an endpoint about 1 ms and the network a few; one that is not up by then goes to a box
-    /// that is gone, and nothing was sent on it.
+    /// Connecting normally takes a few milliseconds. A host that hasn't answered by then is unreachable, and since
+    /// nothing was sent, the request can go to another endpoint.
     static constexpr auto connect_timeout = std::chrono::milliseconds(250);
-    /// How long sent bytes may stay unacknowledged before the kernel gives the connection up.
+    /// How long sent bytes may stay unacknowledged before the kernel drops the connection.
     static constexpr int unacknowledged_milliseconds = 2000;
-    /// Seconds without traffic before the kernel asks the peer whether it is there, seconds between, and tries.
+    /// TCP keep-alive: idle time before the first probe, time between probes, and number of probes.
     static constexpr int probe_after_seconds = 1;
     static constexpr int probe_interval_seconds = 1;
     static constexpr int probe_count = 2;
-    /// Endpoints that tell no time were seen to close idle connections after some seconds.
+    /// For endpoints without a Keep-Alive header, which close idle connections after some seconds.
     static constexpr Core::Duration default_idle_timeout { std::chrono::seconds(4) };
-    /// Taken off the time told, so that a request does not cross the endpoint's close.
+    /// Subtracted from the endpoint's keep-alive timeout, so that no request is sent while the endpoint closes.
     static constexpr Core::Duration idle_margin { std::chrono::milliseconds(1200) };
     static constexpr std::size_t max_idle_per_endpoint = 32;
 
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Where the last whole event ends: behind the last empty line. Lines end with a line feed, a return before it or not.
+/// Offset behind the last empty line, which ends an event. Lines end with LF or CR LF.
 std::size_t end_of_whole_events(std::string_view text)
 {
     auto const plain = text.rfind("\n\n");
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -7,17 +7,17 @@
 
 namespace Gateway {
 
-/// Cuts a stream of server-sent events at their ends. Only whole events are passed on, so that a stream which breaks
-/// inside an event can be continued by another run.
+/// Splits a stream of server-sent events at event boundaries. Only whole events are forwarded, so that another endpoint
+/// can continue a stream that breaks inside an event.
 class EventSplitter {
 public:
-    /// Takes what came and gives the whole events that are complete by now, as they were written.
+    /// Appends a received piece and returns all events completed by it, byte for byte.
     [[nodiscard]] std::string append(std::string_view piece);
-    /// What came after the last whole event.
+    /// The bytes received after the last whole event.
     [[nodiscard]] std::string const& partial_event() const { return this->partial; }
-    /// Forgets a part of an event, before another run continues the stream.
+    /// Discards an incomplete event, before another endpoint continues the stream.
     void discard_partial_event() { this->partial.clear(); }
-    /// The id of the last whole event that had one.
+    /// The id of the last whole event that has one.
     [[nodiscard]] std::optional<std::string> const& last_id() const { return this->last_event_id; }
 
 private:
--- a/Libraries/LibGateway/ExchangeLog.cpp
+++ b/Libraries/LibGateway/ExchangeLog.cpp
@@ -1,4 +1,4 @@
-// What RequestExchange tells the router, the metrics and the log of its attempts and its end.
+// How RequestExchange reports attempts and results to the router, the metrics and the log.
 
 #include <LibGateway/RequestExchange.h>
 
--- a/Libraries/LibGateway/ExchangeRetries.cpp
+++ b/Libraries/LibGateway/ExchangeRetries.cpp
@@ -1,5 +1,4 @@
-// What RequestExchange does after an attempt: whether another endpoint is tried, and what the run says of the request
-// and of its endpoint.
+// What RequestExchange does after an attempt: decides on a retry, and detects requests that crash endpoints.
 
 #include <LibGateway/RequestExchange.h>
 
@@ -43,14 +42,14 @@
 
 bool RequestExchange::may_try_again(AttemptEnd end)
 {
-    // NOTE: Asked first: the last attempt may have left no trace while an earlier one ran.
+    // NOTE: Must come first: the last attempt may not have run, but an earlier one may have.
     if (this->may_have_run && !this->admitted->route->is_repeatable())
         return false;
     if (end == AttemptEnd::NotSent)
         return this->unsent_attempts <= max_unsent_attempts;
     if (end == AttemptEnd::BrokenAfterDelivery)
         return false;
-    // NOTE: The budget was asked when the endpoint's failure was held back.
+    // NOTE: may_retry_failure has already spent from the retry budget.
     if (end == AttemptEnd::EndpointError)
         return true;
     return this->sent_attempts < this->admitted->route->max_attempts
@@ -67,7 +66,7 @@
 Task<bool> RequestExchange::check_broken_connection(Attempt attempt)
 {
     auto const& placed = attempt.placed;
-    // NOTE: An endpoint that leaves ends as planned; what it broke off says nothing of the request.
+    // NOTE: A draining endpoint exits as planned, so a connection it breaks is no sign of a crash.
     bool const was_in_use = this->state.router.may_receive(placed.choice.endpoint, monotonic_now());
     auto const check_result = co_await check_endpoint(this->state, placed.choice.endpoint, placed.endpoint.address);
     this->log_broken_connection(attempt, check_result);
@@ -83,7 +82,7 @@
     if (!attempt.connection_broke)
         return;
     this->checks_connection = true;
-    // NOTE: Not awaited, since the client is told at once.
+    // NOTE: Not awaited, so that the answer to the client isn't delayed.
     asio::co_spawn(
         this->state.context,
         [self = this->shared_from_this(), attempt]() -> Task<void> {
@@ -97,8 +96,8 @@
 {
     if (!attempt.connection_broke)
         co_return false;
-    // NOTE: Known before the next endpoint is chosen, a round trip later: without that a call that may be repeated
-    // takes two endpoints with it each time it comes.
+    // NOTE: Awaited before the next endpoint is chosen, which costs a round trip. Otherwise a repeatable request that
+    // crashes endpoints would crash two of them each time a client sends it.
     bool const has_crashed = co_await this->check_broken_connection(attempt);
     this->crashes_endpoints = has_crashed && attempt.known_crashes > 0;
     co_return this->crashes_endpoints;
@@ -119,7 +118,7 @@
 void RequestExchange::report_run(Attempt const& attempt, AttemptEnd end)
 {
     constexpr unsigned first_no_success = 300;
-    // NOTE: A plain service that broke its connection may have run the request; an engine shows no token of it.
+    // NOTE: A plain service may have run the request before its connection broke. An engine that sent no token has not.
     bool const has_run = end == AttemptEnd::EndpointError || (end == AttemptEnd::Unknown && !this->admitted->is_engine);
     if (has_run)
         this->count_started(attempt.started);
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -134,7 +134,7 @@
         socket.set_option(tcp::no_delay(true), ignored);
         auto const client = std::make_shared<ClientConnection>(this->state, std::move(socket));
         this->clients.push_back(client);
-        // NOTE: The task must hold the connection before it first runs, so it is made inside one that does.
+        // NOTE: run() keeps the connection alive only once it has started. The lambda does so until then.
         asio::co_spawn(
             this->context, [client] { return client->run(); }, asio::detached);
     }
@@ -205,7 +205,7 @@
     auto const shutdown_deadline = signalled_at + this->environment.stop_grace - stop_margin;
     this->state.is_stopping = true;
     Log::EventLine("stop_begun").with("requests_open", this->state.requests).info();
-    // NOTE: The balancer sends new clients until it has asked twice, so they are served until then.
+    // NOTE: The load balancer sends new clients until two probes have failed, so they are served until then.
     co_await sleep_for(std::min(balancer_lag, shutdown_deadline - signalled_at));
     error_code ignored;
     this->clients_acceptor->close(ignored);
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -11,21 +11,21 @@
 
 struct GatewayOptions {
     std::string settings_path;
-    /// Where metrics are served, on all addresses of the box; nothing for nowhere.
+    /// Port for metrics, on all addresses of the box. Nothing to serve no metrics.
     std::optional<std::uint16_t> metrics_port;
     std::uint64_t seed { 0 };
-    /// How servers are ordered while this box leads; nothing to order none.
+    /// How servers are ordered while this box is the leader. Nothing to order none.
     std::optional<Leader::FleetPolicy> fleet {};
 };
 
-/// The platform front of a box: listeners, what it knows from the store, and the stop.
+/// The gateway process of a box: opens the listeners, keeps the configuration current, and shuts down gracefully.
 class Gateway {
 public:
-    /// Nothing, with a reason, where an address can't be listened on.
+    /// Returns null and sets `last_reason` if an address can't be listened on.
     [[nodiscard]] static std::unique_ptr<Gateway> try_create(
         Adapter::BoxEnvironment environment, GatewayOptions options, Core::LastReason& last_reason);
 
-    /// The ports that are listened on, which the kernel may have chosen; 0 for metrics that are served nowhere.
+    /// The listening ports, which the kernel may have chosen. `metrics` is 0 if metrics aren't served.
     struct Ports {
         std::uint16_t front { 0 };
         std::uint16_t readiness { 0 };
@@ -33,7 +33,7 @@
     };
     [[nodiscard]] Ports ports() const;
 
-    /// Serves until the process is told to stop and its requests are finished.
+    /// Serves until the process receives a signal to stop and its requests are finished.
     void run();
 
 private:
@@ -43,7 +43,7 @@
     [[nodiscard]] Task<void> accept_clients();
     [[nodiscard]] Task<void> run_housekeeping();
     [[nodiscard]] Task<void> watch_for_suspension();
-    /// The box was suspended for so long, and all that follows from it is done.
+    /// Updates all state that depends on time after the box was suspended for the given duration.
     void handle_suspension(Core::Duration suspended);
     [[nodiscard]] Task<void> wait_for_signals();
     [[nodiscard]] Task<void> stop();
@@ -54,19 +54,19 @@
     void remove_closed_clients();
     void log_readiness_change();
 
-    /// How often idle connections, lapsed endpoints and the log's buffer are looked after. Well below the 2 s in which
-    /// an endpoint that leaves has to be left alone.
+    /// Interval for closing idle connections, removing expired endpoints and flushing the log. Well below the 2 s
+    /// within which a draining endpoint must receive no new requests.
     static constexpr Core::Duration housekeeping_interval { std::chrono::milliseconds(250) };
-    /// How soon after waking a box notices that it was suspended if nothing else comes first. Requests whose time ran
-    /// out meanwhile are answered then.
+    /// Interval of the check for a suspension, at which requests that expired during the suspension are answered.
     static constexpr Core::Duration suspension_check { std::chrono::milliseconds(100) };
-    /// After the signal to stop: the balancer asks each second and lets go after two refusals.
+    /// How long connections are accepted after the signal to stop. The load balancer probes every second and removes
+    /// the box after two failed probes.
     static constexpr Core::Duration balancer_lag { std::chrono::milliseconds(2300) };
-    /// Kept back from the grace, so that the process ends by itself.
+    /// Subtracted from the grace period, so that the process exits before it is killed.
     static constexpr Core::Duration stop_margin { std::chrono::milliseconds(500) };
-    /// Part of the memory limit that request bodies may take; the rest is for connections and answers.
+    /// Share of the memory limit for request bodies. The rest is for connections and answers.
     static constexpr double share_of_memory_for_bodies = 0.3;
-    /// Part of the sockets that clients may take; the rest is for endpoints and the store.
+    /// Share of the sockets for client connections. The rest is for endpoints and the store.
     static constexpr double share_of_sockets_for_clients = 0.6;
 
     asio::io_context context { 1 };
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -32,49 +32,50 @@
 GatewayMetrics::GatewayMetrics()
     : registry(std::make_shared<prometheus::Registry>())
     , requests(counters(*this->registry, "cleatbeam_requests_total", "Requests by route and final status"))
-    , refusals(counters(*this->registry, "cleatbeam_refusals_total", "Own refusals by reason"))
-    , retries(counters(*this->registry, "cleatbeam_retries_total", "Sends to one more endpoint by reason"))
-    , attempts(counters(*this->registry, "cleatbeam_attempts_total", "Sends to endpoints by result"))
+    , refusals(counters(*this->registry, "cleatbeam_refusals_total", "Requests refused by this box, by reason"))
+    , retries(counters(*this->registry, "cleatbeam_retries_total", "Retries at another endpoint, by reason"))
+    , attempts(counters(*this->registry, "cleatbeam_attempts_total", "Attempts at endpoints, by result"))
     , endpoint_connections(
           counters(*this->registry, "cleatbeam_endpoint_connections_total", "New connections to endpoints").Add({}))
     , broken_connections(counters(*this->registry, "cleatbeam_broken_connections_total",
-          "Connections that endpoints broke with a request on them, by what a new one showed"))
+          "Connections that endpoints broke during a request, by the result of connecting again"))
     , store_calls(counters(*this->registry, "cleatbeam_store_calls_total", "Calls to the platform's store"))
     , store_bytes(
-          counters(*this->registry, "cleatbeam_store_bytes_total", "Bytes that came from the platform's store").Add({}))
-    , store_restorations(counters(*this->registry, "cleatbeam_store_restorations_total",
-          "Times that the platform's store came back from a copy")
+          counters(*this->registry, "cleatbeam_store_bytes_total", "Bytes received from the platform's store").Add({}))
+    , store_restorations(counters(
+          *this->registry, "cleatbeam_store_restorations_total", "Restorations of the platform's store from a copy")
                              .Add({}))
-    , leads(gauge(*this->registry, "cleatbeam_leads", "1 on the box that leads, 0 on all others"))
+    , leads(gauge(*this->registry, "cleatbeam_leads", "1 on the leader, 0 on all other boxes"))
     , usage_reports(counters(*this->registry, "cleatbeam_usage_reports_total", "Usage reports by outcome"))
     , server_orders(counters(*this->registry, "cleatbeam_server_orders_total", "Orders of servers by outcome"))
     , servers(prometheus::BuildGauge()
                   .Name("cleatbeam_servers")
-                  .Help("Servers that take requests, by service, failure domain and kind; on the box that leads")
+                  .Help("Servers that accept requests, by service, failure domain and kind, as the leader sees them")
                   .Register(*this->registry))
-    , relay_questions(counters(*this->registry, "cleatbeam_relay_questions_total", "Questions to a relay by outcome"))
+    , relay_questions(counters(*this->registry, "cleatbeam_relay_questions_total", "Requests to a relay, by outcome"))
     , relay_answers(
-          counters(*this->registry, "cleatbeam_relay_answers_total", "Questions of other boxes answered").Add({}))
-    , load_reports(counters(*this->registry, "cleatbeam_load_reports_total", "Reports of load between boxes"))
-    , crash_reports(counters(
-          *this->registry, "cleatbeam_crash_reports_total", "What is known of requests under which endpoints crashed"))
+          counters(*this->registry, "cleatbeam_relay_answers_total", "Requests of other boxes answered as their relay")
+              .Add({}))
+    , load_reports(counters(
+          *this->registry, "cleatbeam_load_reports_total", "Load reports between boxes, by what happened to them"))
+    , crash_reports(counters(*this->registry, "cleatbeam_crash_reports_total",
+          "Reports of requests that crash endpoints, by origin or end"))
     , bad_records(counters(*this->registry, "cleatbeam_bad_records_total", "Records that could not be read"))
     , first_byte_seconds(
           histograms(*this->registry, "cleatbeam_first_byte_seconds", "From a request's arrival to its first byte"))
     , answer_seconds(histograms(*this->registry, "cleatbeam_answer_seconds", "From a request's arrival to its end"))
-    , suspension_seconds(
-          histograms(*this->registry, "cleatbeam_suspension_seconds", "Times for which this box was suspended")
-              .Add({}, suspension_buckets))
+    , suspension_seconds(histograms(*this->registry, "cleatbeam_suspension_seconds", "Suspensions of this box")
+                             .Add({}, suspension_buckets))
     , configuration_version(
           gauge(*this->registry, "cleatbeam_configuration_version", "Version of the configuration in force"))
     , configuration_age_seconds(gauge(*this->registry, "cleatbeam_configuration_age_seconds",
           "Time since the store confirmed that no newer configuration exists"))
-    , endpoints(gauge(*this->registry, "cleatbeam_endpoints", "Endpoints that the store lists"))
-    , boxes(gauge(*this->registry, "cleatbeam_boxes", "Boxes that the store lists, this one among them"))
-    , refused_requests(gauge(*this->registry, "cleatbeam_refused_requests",
-          "Requests that are refused since endpoints crashed under them"))
-    , limited_endpoints(gauge(*this->registry, "cleatbeam_limited_endpoints",
-          "Endpoints that say how many requests a second they take from all boxes together"))
+    , endpoints(gauge(*this->registry, "cleatbeam_endpoints", "Endpoints listed in the store"))
+    , boxes(gauge(*this->registry, "cleatbeam_boxes", "Boxes listed in the store, including this one"))
+    , refused_requests(
+          gauge(*this->registry, "cleatbeam_refused_requests", "Requests refused because they crash endpoints"))
+    , limited_endpoints(gauge(
+          *this->registry, "cleatbeam_limited_endpoints", "Endpoints that report a rate limit for all boxes together"))
 {
 }
 
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -13,41 +13,42 @@
 
 namespace Gateway {
 
-/// Counters, gauges and histograms of the platform front. Safe to use from several threads.
+/// Prometheus counters, gauges and histograms of the gateway. Thread-safe.
 class GatewayMetrics {
 public:
     GatewayMetrics();
 
-    /// A request got its last answer. `status` is 0 where the client left or the connection broke.
+    /// Counts a finished request. `status` is 0 if the client left.
     void count_request(std::string const& route, unsigned status);
     void count_refusal(Core::Reason reason);
     void count_retry(Core::Reason reason);
     void count_attempt(std::string_view result);
     void count_endpoint_connection();
-    /// An endpoint broke a connection that carried a request; `finding` is what a new one to it showed.
+    /// Counts a connection that an endpoint broke during a request. `check_result` is the result of connecting again.
     void count_broken_connection(std::string_view check_result);
-    /// `what` is the topic it was for: "operator", "endpoints" or "boxes".
+    /// `what` is the topic of the call: "operator", "endpoints" or "boxes".
     void count_store_call(std::string_view what, std::string_view outcome);
-    /// The store came back from a copy that lacks what was written last.
+    /// Counts a restoration of the store from a copy that lacks the latest writes.
     void count_store_restored();
-    /// Whether this box leads.
+    /// Sets whether this box is the leader.
     void set_is_leader(bool leads);
-    /// Usage reports to the platform: "taken", "refused", "no-answer", or "missed" where a window's time was over.
+    /// Counts a usage report to the platform: "taken", "refused", "no-answer", or "missed" if it was overdue.
     void count_usage_report(std::string_view outcome);
-    /// Orders of servers: "accepted", "refused" or "no-answer".
+    /// Counts an order of servers: "accepted", "refused" or "no-answer".
     void count_server_order(std::string_view outcome);
-    /// Servers that take requests, as the leader sees them.
+    /// Sets the number of servers that accept requests, as the leader sees them.
     void set_servers(std::string const& service, std::string const& domain, std::string const& kind, unsigned count);
-    /// What came from the store, also of answers that were cut off.
+    /// Counts bytes received from the store, including those of incomplete answers.
     void count_store_bytes(std::size_t bytes);
-    /// This box asked a relay: "answered", "old" for an answer that is not recent enough, or "failed".
+    /// Counts a request to a relay: "answered", "old" if the answer was not recent enough, or "failed".
     void count_relay_question(std::string_view outcome);
-    /// Another box asked this one.
+    /// Counts a request of another box that this box answered as its relay.
     void count_relay_answer();
-    /// Load reports between boxes: "told", "heard", "overtaken" by a newer one, or "unreadable".
+    /// Counts load reports between boxes: "told" (sent), "heard" (received), "overtaken" by a newer one, or
+    /// "unreadable".
     void count_load_reports(std::string_view what, std::size_t count);
-    /// Requests under which endpoints crashed: "noted" here, "heard" from another box, "read" from the store, "cleared"
-    /// by a run that ended well, "taken-back" since the endpoint answers.
+    /// Counts a report of a request that crashes endpoints: "noted" by this box, "heard" from another box, "read" from
+    /// the store, "cleared" by a successful run, or "taken-back" because the endpoint still answers.
     void count_crash_report(std::string_view what);
     void count_bad_record(std::string_view kind);
     void observe_first_byte(std::string const& route, Core::Duration taken);
@@ -55,14 +56,14 @@
     void observe_suspension(Core::Duration length);
     void set_configuration(std::uint64_t version, Core::Duration age);
     void set_endpoints(std::size_t count);
-    /// Requests that are refused since endpoints crashed under them.
+    /// Sets the number of requests that are refused because they crash endpoints.
     void set_refused_requests(std::size_t count);
-    /// Endpoints that have named a rate limit.
+    /// Sets the number of endpoints that report a rate limit.
     void set_limited_endpoints(std::size_t count);
-    /// Boxes that the store lists, this one among them.
+    /// Sets the number of boxes listed in the store, including this one.
     void set_boxes(std::size_t count);
 
-    /// The text form that scrapers read.
+    /// All metrics in the Prometheus text format.
     [[nodiscard]] std::string to_text() const;
 
 private:
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -11,8 +11,8 @@
 
 namespace Gateway {
 
-/// What the parts of the front share. Used by the event loop's thread only, but for the router and the metrics, which
-/// have locks of their own.
+/// State shared by all parts of the gateway. Only for the event loop's thread, except for the router and the metrics,
+/// which have their own locks.
 struct GatewayState {
     GatewayState(asio::io_context& context, Routing::RouterSettings settings, std::uint64_t seed)
         : context(context)
@@ -23,8 +23,8 @@
     {
     }
 
-    /// Looks whether the box was suspended since the last look, and has what hangs on it done before anything else. To
-    /// be called before a decision that rests on what this box knows.
+    /// Checks whether the box was suspended since the last call, and calls `on_suspension` if so. Must be called before
+    /// any decision that depends on the age of the configuration or of other data.
     void check_for_suspension()
     {
         auto const now = Core::monotonic_now();
@@ -33,12 +33,12 @@
             this->on_suspension(*length);
     }
 
-    /// The usage window that a moment lies in, by the time that all boxes go by.
+    /// The usage window that contains `moment`, by the clock that all boxes share.
     [[nodiscard]] std::uint64_t usage_window_at(Core::Instant moment) const
     {
         return Leader::window_at(this->clock.unix_microseconds(moment), this->usage_window);
     }
-    /// An endpoint began a request of the client account at that moment.
+    /// Counts a request of the client account that an endpoint started to run at that moment.
     void count_started_request(std::string const& account, Core::Instant at)
     {
         if (this->usage_window > Core::Duration { 0 } && !account.empty())
@@ -52,25 +52,25 @@
     CrashNews crash_exchange;
     EndpointNews endpoint_notice_exchange;
     Leader::SharedClock clock;
-    /// What is reported to the platform, by windows of this length; 0 where nothing is.
+    /// Request counts for the usage reports to the platform. A window length of 0 means that usage isn't reported.
     Leader::UsageCounts usage;
     Core::Duration usage_window { 0 };
-    /// Set once the process has been told to stop.
+    /// Set when the process receives the signal to stop.
     bool is_stopping { false };
-    /// Whether this box has just started and others may know what it can't learn from the store: a version of the
-    /// configuration that the store lost, or what endpoints told them.
+    /// Whether this box has just started and hasn't yet received what only other boxes know: a version of the
+    /// configuration that the store lost, or the rate limits and drain notices of endpoints.
     bool awaits_other_boxes { false };
-    /// When this process ends at the latest; known once it takes no new connections.
+    /// When this process exits at the latest. Set once it accepts no new connections.
     std::optional<Core::Instant> shutdown_deadline;
     Core::SuspensionMeter suspension { Core::monotonic_now(), Core::awake_now() };
-    /// Called with how long the box was suspended.
+    /// Called with the length of a detected suspension.
     std::function<void(Core::Duration length)> on_suspension;
-    /// Requests being served.
+    /// Number of requests being served.
     std::size_t requests { 0 };
-    /// Bytes of request bodies held, and the most that may be.
+    /// Bytes of request bodies in memory, and their limit.
     std::size_t body_bytes { 0 };
     std::size_t max_held_body_bytes { 0 };
-    /// Open connections of clients, and the most that may be.
+    /// Number of open client connections, and its limit.
     std::size_t clients { 0 };
     std::size_t max_clients { 0 };
 };
--- a/Libraries/LibGateway/HttpStatus.h
+++ b/Libraries/LibGateway/HttpStatus.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// The HTTP status codes that this box gives or acts on.
+/// HTTP status codes that this box sends or interprets.
 namespace Gateway {
 
 inline constexpr unsigned status_ok = 200;
-/// Lower ones are interim: the answer proper follows.
+/// Lower codes are interim (1xx) and are followed by the final answer.
 inline constexpr unsigned first_final_status = 200;
 inline constexpr unsigned status_bad_request = 400;
 inline constexpr unsigned status_unauthorized = 401;
--- a/Libraries/LibGateway/InternalHttpServer.cpp
+++ b/Libraries/LibGateway/InternalHttpServer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The two parts of an answer's body as the HTTP library takes a body: sent as they lie, in one call.
+/// A Beast body type that sends both parts of an answer without copying them.
 struct TwoPartBody {
     using value_type = InternalHttpResponse;
 
@@ -15,7 +15,7 @@
         return answer.body.size() + (answer.shared_suffix ? answer.shared_suffix->size() : 0);
     }
 
-    // The library's own names.
+    // These names are required by Beast.
     class writer {
     public:
         using const_buffers_type = std::array<asio::const_buffer, 2>;
@@ -38,8 +38,8 @@
     };
 };
 
-/// Closes the connection unless the timer is set anew or cancelled before. The turn counts how often it was set, since
-/// a handler that is queued then can't be cancelled any more.
+/// Closes the connection after `duration` unless the timer is reset or cancelled first. Each call increments the
+/// generation, so that a handler that is already queued, and can't be cancelled, is ignored.
 void close_after(asio::steady_timer& timer, Core::Duration duration, std::shared_ptr<tcp::socket> socket,
     std::shared_ptr<std::uint64_t> generation)
 {
@@ -59,7 +59,7 @@
     while (this->acceptor.is_open()) {
         auto [error, accepted] = co_await this->acceptor.async_accept(as_value);
         if (error) {
-            // NOTE: Out of descriptors, most likely; they come back as connections end.
+            // NOTE: Most likely out of file descriptors, which are freed as connections end.
             co_await sleep_for(std::chrono::milliseconds(10));
             continue;
         }
--- a/Libraries/LibGateway/InternalHttpServer.h
+++ b/Libraries/LibGateway/InternalHttpServer.h
@@ -9,18 +9,18 @@
 struct InternalHttpResponse {
     unsigned status { 200 };
     std::string body;
-    /// What follows the body, held once for all answers that end with it; nothing for most.
+    /// Sent after `body`. Shared by all answers with this ending, so that a large one is in memory once. May be null.
     std::shared_ptr<std::string const> shared_suffix {};
 };
 
-/// Answers short questions about this box, such as whether it takes clients or what it knows from the store, on an
-/// address of its own. One request a connection at a time; connections are kept.
+/// HTTP server for requests about this box itself: readiness, metrics, and what it knows from the store. Serves one
+/// request per connection at a time and keeps connections alive.
 class InternalHttpServer {
 public:
-    /// Gives the answer for a path and the body of the question.
+    /// Returns the answer for a path, without its query, and a request body.
     using Handler = std::function<InternalHttpResponse(std::string_view path, std::string const& body)>;
 
-    /// `patience` is how long a connection may be silent, and how long its peer may leave an answer unread.
+    /// `idle_timeout` limits how long a connection may be silent and how long its peer may leave an answer unread.
     InternalHttpServer(tcp::acceptor acceptor, Handler handler, std::size_t max_connections = default_max_connections,
         Core::Duration idle_timeout = default_idle_timeout)
         : acceptor(std::move(acceptor))
@@ -38,10 +38,10 @@
 private:
     [[nodiscard]] Task<void> serve(std::shared_ptr<tcp::socket> socket) const;
 
-    /// Probes come every second, so a silent connection is of no use. A peer that doesn't read holds what its answer
-    /// holds and a place among the connections; a box that asks gives up long before.
+    /// Readiness probes arrive every second, and other boxes time out long before this limit. A peer that doesn't read
+    /// its answer occupies memory and a connection.
     static constexpr Core::Duration default_idle_timeout { std::chrono::seconds(10) };
-    /// Enough for a balancer, a scraper and a person.
+    /// Enough for a load balancer, a metrics scraper and a person.
     static constexpr std::size_t default_max_connections = 16;
 
     tcp::acceptor acceptor;
--- a/Libraries/LibGateway/RequestExchange.cpp
+++ b/Libraries/LibGateway/RequestExchange.cpp
@@ -79,8 +79,8 @@
 
 bool RequestExchange::may_outlast_process() const
 {
-    // NOTE: A client may send its next request on a connection whose last answer has just ended, seconds after the
-    // signal to stop. One that was taken 0.7 s before the end was cut off.
+    // NOTE: On a kept connection a client may send its next request seconds after the signal to stop, too late for this
+    // process to finish it before the exit.
     return this->state.shutdown_deadline && this->admitted->expires > *this->state.shutdown_deadline;
 }
 
@@ -147,8 +147,8 @@
         co_await this->give_up(this->reason_for_giving_up(), {});
         co_return;
     }
-    // NOTE: The client sees that the answer is not whole, since its connection ends without the last chunk. Before
-    // HTTP/1.1 the end of a connection ended an answer, so there it is reset.
+    // NOTE: A chunked answer without its last chunk shows the client that it is incomplete. Before HTTP/1.1 a closed
+    // connection marks the end of an answer, so the connection is reset instead.
     this->keeps_client = false;
     error_code ignored;
     if (this->request.version() < http_1_1)
@@ -170,14 +170,14 @@
     bool const has_endpoint_left = !error && !this->state.router.may_receive(endpoint, now);
     bool const is_at_limit = !error && !has_endpoint_left && !this->state.router.may_send(attempt.placed, now);
     if (error || has_endpoint_left || is_at_limit || this->is_cancelled()) {
-        // NOTE: A host that refuses shows within a round trip that the process has ended. Right after a rack is lost
-        // most of those listed may, and each is tried once.
+        // NOTE: Refused connections don't count: they cost only a round trip, and after the loss of a failure domain
+        // most listed endpoints may refuse. Each endpoint is tried once.
         if (error != asio::error::connection_refused)
             ++this->unsent_attempts;
         attempt.detail = error  ? "connect: " + error.message()
             : has_endpoint_left ? "endpoint left before it was sent"
-            : is_at_limit       ? "endpoint wants no more for now"
-                                : "given up before it was sent";
+            : is_at_limit       ? "endpoint is at its rate limit"
+                                : "cancelled before it was sent";
         this->call->abort();
         co_return AttemptEnd::NotSent;
     }
@@ -213,7 +213,7 @@
     this->awaits_head = false;
     this->silence.cancel();
     if (error) {
-        attempt.detail = "answer's head: " + error.message();
+        attempt.detail = "reading the head of the answer: " + error.message();
         attempt.connection_broke = !this->is_cancelled() && !this->was_endpoint_silent;
         co_return this->end_of_broken_answer();
     }
@@ -245,7 +245,7 @@
 Task<AttemptEnd> RequestExchange::forward_answer(Attempt& attempt)
 {
     if (this->answer_begun) {
-        // NOTE: The answer keeps the head of its first run, so only a run that goes on in the same form will do.
+        // NOTE: The client already has the head of the first answer, so the stream can only be continued by a 200.
         if (attempt.status != status_ok) {
             attempt.detail = "the stream was not continued";
             co_return AttemptEnd::BrokenAfterDelivery;
@@ -275,7 +275,7 @@
         while (!this->call->is_done()) {
             std::string received;
             if (auto const error = co_await this->call->read_piece(received)) {
-                attempt.detail = "answer's body: " + error.message();
+                attempt.detail = "reading the body of the answer: " + error.message();
                 attempt.connection_broke = !this->is_cancelled();
                 co_return this->end_of_broken_answer();
             }
@@ -292,7 +292,7 @@
             out += last_chunk;
         this->answer_begun = true;
         if (!co_await this->send_to_client(out)) {
-            attempt.detail = "client's connection broke";
+            attempt.detail = "connection to the client broke";
             co_return AttemptEnd::BrokenAfterDelivery;
         }
         out.clear();
@@ -319,7 +319,8 @@
     if (this->answer_begun)
         return;
     auto const now = monotonic_now();
-    // NOTE: An engine begins a request with its first token; a plain service answers when it is done.
+    // NOTE: An engine starts a request with its first token. A plain service answers when it has finished, so it
+    // started when the request was sent.
     this->count_started(this->admitted->is_engine ? now : attempt.started);
     this->state.router.attempt_answered(*this->admitted, attempt.placed.choice, now - attempt.started, now);
     this->state.metrics.observe_first_byte(this->admitted->route->name, now - this->arrived);
@@ -338,7 +339,7 @@
 
 Task<bool> RequestExchange::send_to_client(std::string const& bytes)
 {
-    // NOTE: Work that may not be repeated goes on without its client, and its answer has nowhere to go.
+    // NOTE: A non-idempotent request runs to its end after the client has left, and its answer is discarded.
     if (this->has_client_left)
         co_return true;
     auto const [error, written] = co_await asio::async_write(*this->client.socket, asio::buffer(bytes), as_value);
@@ -413,8 +414,8 @@
     this->silence.expires_after(Core::from_seconds(Core::to_seconds(route.goal) * silence_per_goal));
     this->silence.async_wait([weak = this->weak_from_this(), timed_call = this->call](error_code cancelled) {
         auto const self = weak.lock();
-        // NOTE: After a stall of the event loop this handler may be queued behind the answer that it waits for, and
-        // then it can't be cancelled. It cut answers that had begun, one or two on a day with two large configurations.
+        // NOTE: After a stall of the event loop this handler may already be queued when the answer is read, and then it
+        // can't be cancelled. Without this check it would cut off an answer that has begun.
         if (cancelled || !self || self->call != timed_call || !self->awaits_head)
             return;
         self->was_endpoint_silent = true;
