--- a/Tests/LibGateway/TestCallerConnection.cpp
+++ b/Tests/LibGateway/TestCallerConnection.cpp
@@ -173,11 +173,8 @@
     }
 }
 
-// Users see an endpoint go on with calls of clients that left. Order of events: the loop stands still past the limit on
-// the body, so that the last piece and the limit's handler are queued together; the piece is read, the request is sent
-// on and the client's end is watched; then the handler runs. Cause: a handler that is queued can't be cancelled, and it
-// ended every wait on the socket, the watch among them. Evidence: without the stall the call was cancelled, with it
-// not.
+// Guards against requests that keep running after their client has left: after a stall of the event loop the timeout
+// handler runs after the body was read. It can't be cancelled, and must not cancel the wait for the client's close.
 TEST_CASE("a client that leaves is noticed though the loop stood still past the limit on its body")
 {
     bool stands_still = false;
@@ -208,9 +205,8 @@
     CHECK(is_cancelled);
 }
 
-// Users on slow links see 408 for a large request, as often as they send it. Order of events: pieces of a body come
-// steadily, and together take longer than a connection may be idle. Cause: the limit counted from the head and not from
-// the last piece. Evidence: ten pieces 60 ms apart against a limit of 400 ms never reached the endpoint.
+// Guards against 408 for large requests over slow links: the idle timeout must count from the last received piece of
+// the body, not from its head.
 TEST_CASE("a body that keeps coming is taken though it takes longer than a connection may be idle")
 {
     ServedConnection connection;
@@ -226,8 +222,7 @@
     CHECK(connection.at_endpoint.is_open());
 }
 
-// Users would hold places of a box with requests that never end if the limit on a body no longer held. Order of events:
-// two pieces of a body come, then none. Evidence: 408, after the limit counted from the last piece.
+// A body that stops arriving must still be refused with 408, one idle timeout after its last piece.
 TEST_CASE("a body that stops coming is refused once it has paused as long as a connection may be idle")
 {
     ServedConnection connection;
--- a/Tests/LibGateway/TestEndpointConnections.cpp
+++ b/Tests/LibGateway/TestEndpointConnections.cpp
@@ -6,11 +6,9 @@
 
 using namespace Gateway;
 
-// Users see requests refused, and an endpoint that is up taken out of use, after a box applied a large configuration.
-// Order of events: a connect starts; the event loop stands still longer than the limit on a connect; the connect was
-// done long before, and its completion and the limit's handler are queued together. Cause: a handler that is queued
-// can't be cancelled, and that was taken for a connect that took too long; three in a row eject an endpoint. Evidence:
-// the error was "Connection timed out" though the connect had succeeded.
+// Guards against ejecting a healthy endpoint: while the event loop stalls, a connect succeeds and its timeout expires.
+// The queued timeout handler can't be cancelled and must not fail the connect. Three failures in a row eject an
+// endpoint.
 TEST_CASE("a connect that was done while the event loop stood still is not given up")
 {
     asio::io_context context;
@@ -35,9 +33,8 @@
     CHECK(connection != nullptr);
 }
 
-// Users would wait for an endpoint that is gone if the limit on a connect no longer held. Order of events: connects
-// fill the queue of a listener that accepts none; the next one gets no answer. Evidence: it ends with an error soon
-// after the limit of 250 ms, long before the kernel asks again, which is after 1 s.
+// A full accept queue leaves a connect unanswered. It must fail soon after the timeout of 250 ms, before the kernel
+// retries after 1 s.
 TEST_CASE("a connect that isn't answered is given up")
 {
     asio::io_context context;
--- a/Tests/LibGateway/TestProbeListener.cpp
+++ b/Tests/LibGateway/TestProbeListener.cpp
@@ -81,10 +81,8 @@
     CHECK(run_until(listener.context, [&] { return listener.shared.use_count() == 1; }));
 }
 
-// Users see a box fall behind: its question to another one is answered with a part of the answer. Order of events: the
-// question arrives while the asked box's event loop stands still past the limit on silent connections, so that the
-// question and the limit's handler are queued together; the answer starts, then the handler runs. Cause: a handler that
-// is queued can't be cancelled by setting its timer anew. Evidence: the connection closed in the midst of the answer.
+// Guards against truncated answers to other boxes: while the event loop stalls, a request arrives and the idle timeout
+// expires. Resetting the timer doesn't cancel the queued handler, which must not close the connection.
 TEST_CASE("an answer to another box is whole though the event loop stood still past the limit on idle connections")
 {
     asio::io_context context;
@@ -132,9 +130,8 @@
     CHECK(received >= bytes);
 }
 
-// Users see a box behind a narrow link stay without a long answer. Order of events: the peer reads steadily, and takes
-// longer for the whole than it may be silent. Cause: the limit counted from the answer's start and not from the last
-// progress. Evidence: the connection closed in the midst of the answer.
+// Guards against truncated answers over slow links: the idle timeout must count from the last progress of a peer that
+// reads steadily, not from the start of the answer.
 TEST_CASE("an answer that its peer keeps reading is whole though it takes longer than the peer may be silent")
 {
     Listener listener(long_answer, short_patience);
--- a/Tests/LibGateway/TestRequestRetries.cpp
+++ b/Tests/LibGateway/TestRequestRetries.cpp
@@ -100,12 +100,8 @@
     }
 }
 
-// What users saw: beside a change of the configuration, a client got the head and the first bytes of a 200, and then
-// the end of its connection. Order of events: a box of 0.12 of a core decoded a configuration of 541 KB, and its event
-// loop stood still for 124 ms; an answer came meanwhile, and the limit on its endpoint's silence (180 ms) passed.
-// Cause: the answer's head was read first and the timer was cancelled, but its handler was queued already and closed
-// the connection to the endpoint. Evidence: the server's run had ended 0.2 s before the client's connection was closed,
-// and the calls that it happened to were all repeatable ones, which alone have that limit.
+// Guards against truncated answers: while the event loop stalls, an answer arrives and the silence timer expires. The
+// answer's head is read first, but the queued timer handler can't be cancelled and must not abort the attempt.
 TEST_CASE("an answer that came while the event loop stood still past the limit on silence is passed on whole")
 {
     constexpr auto goal = std::chrono::milliseconds(20);
--- a/Tests/LibGateway/TestSlowAnswers.cpp
+++ b/Tests/LibGateway/TestSlowAnswers.cpp
@@ -1,12 +1,6 @@
-// What users saw: minutes after the operator had added 1,400 routes for the second time, a box served a route that the
-// confirmed configuration had dropped, and two thirds of the boxes refused every request with a key for 2 to 6 s.
-// Order of events: the record grew from 277 to 541 KB; boxes with links of 10 Mbit/s asked for it; 500 ms later each
-// gave its answer up, when 200 to 540 KB of it had come, and asked for all of it again; 4.5 s after their last
-// confirmation their configuration expired.
-// Cause: the time limit of a call bounded the whole transfer, so that an answer longer than link times limit never
-// came. Evidence: those boxes took 610, 899, 588, 328, 256 and 554 KB a second from their links while the store failed
-// no call and nothing new was in force; boxes with links of 200 Mbit/s took 550 KB once and had the version 0.2 s
-// later.
+// Guards against a large configuration that never arrives over a slow link (541 KB over 10 Mbit/s): a limit on the
+// whole transfer cancels the read each time and starts it again, until the configuration in force expires and requests
+// are refused.
 
 #include <TestMain.h>
 
@@ -76,9 +70,8 @@
     CHECK(transfers == 2);
 }
 
-// What users would see: refusals for up to 1.46 s although the newest version is in force. Order of events: the
-// transfer takes most of the lease, which counts from the question; the next read waits its 1.2 s at the store before
-// it can renew. Evidence: a box alone with a lease of 4.5 s and a transfer of 5.4 s refused that long in 4 of 4 runs.
+// Guards against refusals although the newest version is in force: a long transfer uses up most of the lease, which
+// counts from the request. The next read must not wait at the store, since only its answer renews the lease.
 TEST_CASE("after a long transfer the next read renews the lease at once")
 {
     constexpr StoreFollower::Pace waits { std::chrono::milliseconds(100), std::chrono::milliseconds(1) };
