--- a/Libraries/LibGateway/EndpointConnections.h
+++ b/Libraries/LibGateway/EndpointConnections.h
@@ -57,8 +57,8 @@
     void close_expired(Core::Instant now);
 
 private:
-    /// Connecting normally takes a few milliseconds. A host that hasn't answered by then is unreachable, and since
-    /// nothing was sent, the request can go to another endpoint.
+    /// Connecting takes about 1 ms at the endpoint and a few on the network. A host that hasn't answered by then is
+    /// unreachable, and since nothing was sent, the request can go to another endpoint.
     static constexpr auto connect_timeout = std::chrono::milliseconds(250);
     /// How long sent bytes may stay unacknowledged before the kernel drops the connection.
     static constexpr int unacknowledged_milliseconds = 2000;
--- a/Libraries/LibGateway/RequestExchange.cpp
+++ b/Libraries/LibGateway/RequestExchange.cpp
@@ -176,7 +176,7 @@
             ++this->unsent_attempts;
         attempt.detail = error  ? "connect: " + error.message()
             : has_endpoint_left ? "endpoint left before it was sent"
-            : is_at_limit       ? "endpoint is at its rate limit"
+            : is_at_limit       ? "endpoint accepts no more requests for now"
                                 : "cancelled before it was sent";
         this->call->abort();
         co_return AttemptEnd::NotSent;
--- a/Libraries/LibGateway/RequestExchange.h
+++ b/Libraries/LibGateway/RequestExchange.h
@@ -119,7 +119,7 @@
     void check_broken_connection_in_background(Attempt const& attempt);
     /// Whether the request crashed an endpoint in this attempt and another one before, so that it is not retried.
     [[nodiscard]] Task<bool> has_crashed_again(Attempt const& attempt);
-    /// Makes this run the probe of a request that crashed endpoints: other boxes don't run the request meanwhile.
+    /// Makes this run the probe of a request that crashed endpoints: no other run of it starts meanwhile.
     void begin_probe();
     void end_probe();
     /// Reports to the crash records whether the endpoint answered and the request succeeded.
