--- a/Libraries/LibMembership/ControlSource.h
+++ b/Libraries/LibMembership/ControlSource.h
@@ -92,7 +92,7 @@
     /// has a relay reads it rarely, and less often the more boxes there are. A box that reads the store itself checks
     /// soon: it may have started a moment before the others and would remain a second reader.
     [[nodiscard]] Duration list_interval(unsigned reads, Instant now) const;
-    /// InterruptibleTimer after so many failed reads of the store in a row.
+    /// Pause after so many failed reads of the store in a row.
     [[nodiscard]] Duration retry_pause(unsigned failures, Instant now) const;
     /// Whether a box whose reads fail retries only the endpoints, and reads the configuration once that succeeds. This
     /// saves the store part of the calls of hundreds of boxes. Boxes that serve as relays retry both topics.
@@ -100,7 +100,7 @@
     /// Time limit for a relay's whole response: a slower one is too old when it is complete, since its data is
     /// confirmed no later than the request was sent.
     [[nodiscard]] Duration max_answer_time() const { return this->max_age(); }
-    /// InterruptibleTimer between a relay's reads of the endpoints.
+    /// Pause between a relay's reads of the endpoints.
     [[nodiscard]] Duration read_interval() const { return this->tightest_bound() / 5; }
     /// Long-poll time of a relay's read of the configuration. Confirmed data is as old as the read takes and remains in
     /// use for as long again; this leaves time for a store that takes a quarter of a second.
