--- a/Libraries/LibGateway/ControlPlane.cpp
+++ b/Libraries/LibGateway/ControlPlane.cpp
@@ -74,7 +74,9 @@
         // NOTE: A box without an address for other boxes can neither be a relay nor use one.
         this->source.boxes_unavailable();
         if (this->leader_settings)
-            Log::EventLine("leader_impossible").with("reason", "the settings contain no ports for other boxes").warning();
+            Log::EventLine("leader_impossible")
+                .with("reason", "the settings contain no ports for other boxes")
+                .warning();
         return true;
     }
     std::optional<tcp::acceptor> acceptor;
@@ -85,7 +87,8 @@
         return false;
     this->listener.emplace(
         std::move(*acceptor),
-        [this](std::string_view path, std::string const& body) { return this->answer_request(path, body); }, max_connections);
+        [this](std::string_view path, std::string const& body) { return this->answer_request(path, body); },
+        max_connections);
     Membership::BoxRecord own { this->box_name, { this->ports->host, this->listener->port() }, this->failure_domain,
         this->link_bytes_per_second };
     LoadExchange::StoreVersionHandlers version_handlers {
@@ -95,7 +98,8 @@
             this->state.awaits_other_boxes = false;
         },
     };
-    this->loads.emplace(this->state, this->source.boxes(), own.address, source_id(this->seed), std::move(version_handlers),
+    this->loads.emplace(this->state, this->source.boxes(), own.address, source_id(this->seed),
+        std::move(version_handlers),
         [this](std::string_view bytes, auto const& from) { return this->handle_message(bytes, from); });
     if (!this->loads->open(last_reason))
         return false;
@@ -120,10 +124,11 @@
     auto const to_some = [this](auto const& bytes, std::size_t boxes) { this->loads->send(bytes, boxes); };
     this->leadership.emplace(this->state, this->source.boxes(), own, process, this->store, settings.lease,
         this->is_first_start, Leadership::Transport { to_box, to_some, [this](Core::Instant now) {
-                                                    return this->source.has_recent_contact(now);
-                                                } });
-    this->records.set_announcement_relay({ [this](Core::Instant now) { return this->leadership->announcement_to_relay(now); },
-        [this](Leadership::RelayedAnnouncement const& relayed) { this->leadership->receive_relayed(relayed); } });
+                                                         return this->source.has_recent_contact(now);
+                                                     } });
+    this->records.set_announcement_relay(
+        { [this](Core::Instant now) { return this->leadership->announcement_to_relay(now); },
+            [this](Leadership::RelayedAnnouncement const& relayed) { this->leadership->receive_relayed(relayed); } });
     if (settings.reports_usage)
         this->usage.emplace(this->state, *this->leadership, this->source.boxes(), process, settings, to_box);
     if (settings.orders_servers && this->fleet_policy)
@@ -167,8 +172,9 @@
         [this](std::string const& key, std::optional<std::string> value) {
             this->registry->queue_write({ key, std::move(value) });
         });
-    this->registry->set_on_other_record(
-        [this](std::string const& key, std::string const& value) { this->state.crash_exchange.apply_stored(key, value); });
+    this->registry->set_on_other_record([this](std::string const& key, std::string const& value) {
+        this->state.crash_exchange.apply_stored(key, value);
+    });
 }
 
 bool ControlPlane::handle_crash_message(std::string_view bytes)
--- a/Libraries/LibGateway/ControlRecords.h
+++ b/Libraries/LibGateway/ControlRecords.h
@@ -76,7 +76,8 @@
         Membership::ControlRequest const& request, std::size_t max_configuration_bytes, Core::Instant now);
     /// Applies a relay's answer to a request sent at `asked_at`; `relay_domain` is the relay's failure domain. Returns
     /// false if the relay has a newer configuration that it left out or that can't be read.
-    bool apply_relayed(Membership::ControlAnswer const& answer, std::string const& relay_domain, Core::Instant asked_at);
+    bool apply_relayed(
+        Membership::ControlAnswer const& answer, std::string const& relay_domain, Core::Instant asked_at);
 
     // Store versions, which all boxes exchange with their load reports.
     [[nodiscard]] Membership::StoreVersions store_versions(Core::Instant now) const;
--- a/Libraries/LibGateway/CrashExchange.cpp
+++ b/Libraries/LibGateway/CrashExchange.cpp
@@ -74,7 +74,8 @@
     // store.
     if (status.refused_for && this->to_store)
         this->to_store(Membership::crash_key(report.request),
-            Membership::encode_crash_record({ { report.request, report.endpoint, status.crashes }, Core::Duration { 0 } },
+            Membership::encode_crash_record(
+                { { report.request, report.endpoint, status.crashes }, Core::Duration { 0 } },
                 Core::wall_clock_milliseconds()));
 }
 
@@ -185,7 +186,8 @@
         return;
     // NOTE: Other boxes may begin a probe of the same request until they have received this update.
     bool const is_urgent = std::holds_alternative<Probing>(update);
-    this->pending.push_back({ std::move(update), 0, monotonic_now() + (is_urgent ? Core::Duration { 0 } : batching_delay) });
+    this->pending.push_back(
+        { std::move(update), 0, monotonic_now() + (is_urgent ? Core::Duration { 0 } : batching_delay) });
     this->pause.interrupt();
 }
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -236,7 +236,8 @@
 {
     if (!Adapter::is_readiness_path(path))
         return { status_not_found, "" };
-    return this->is_ready() ? InternalHttpResponse { status_ok, "ready\n" } : InternalHttpResponse { status_unavailable, "no\n" };
+    return this->is_ready() ? InternalHttpResponse { status_ok, "ready\n" }
+                            : InternalHttpResponse { status_unavailable, "no\n" };
 }
 
 InternalHttpResponse Gateway::answer_metrics(std::string_view path)
--- a/Libraries/LibGateway/Leadership.cpp
+++ b/Libraries/LibGateway/Leadership.cpp
@@ -341,7 +341,8 @@
         co_await sleep_for(announce_interval);
         auto const now = monotonic_now();
         this->check_for_stall(now);
-        bool const is_cut_off = this->store_unreachable_since && now - *this->store_unreachable_since > max_store_outage;
+        bool const is_cut_off
+            = this->store_unreachable_since && now - *this->store_unreachable_since > max_store_outage;
         if (this->is_leader() && !this->must_read_log && !is_cut_off)
             this->send_announcement(now);
     }
@@ -375,7 +376,8 @@
 {
     auto const message = Leader::decode_leader_message(relayed.bytes);
     auto const* const announcement = message ? std::get_if<Leader::Announcement>(&*message) : nullptr;
-    bool const is_newer = announcement && (!this->announcement_received_at || relayed.sent_at > *this->announcement_received_at);
+    bool const is_newer
+        = announcement && (!this->announcement_received_at || relayed.sent_at > *this->announcement_received_at);
     if (is_newer && announcement->box != this->box_name)
         this->receive(*announcement, relayed.sent_at);
 }
@@ -396,7 +398,8 @@
 std::optional<Leader::Announcement> Leadership::leader(Instant now) const
 {
     auto const& known = this->election.leader();
-    bool const is_recent = this->announcement_received_at && now - *this->announcement_received_at <= announcement_lifetime;
+    bool const is_recent
+        = this->announcement_received_at && now - *this->announcement_received_at <= announcement_lifetime;
     if (!known || known->has_resigned || !is_recent)
         return {};
     return known;
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -6,8 +6,9 @@
 
 using Core::monotonic_now;
 
-LoadExchange::LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes, Routing::SocketAddress own_address,
-    std::uint64_t sender, StoreVersionHandlers version_handlers, OnOtherMessage on_other_message)
+LoadExchange::LoadExchange(GatewayState& state, Membership::BoxDirectory const& boxes,
+    Routing::SocketAddress own_address, std::uint64_t sender, StoreVersionHandlers version_handlers,
+    OnOtherMessage on_other_message)
     : state(state)
     , boxes(boxes)
     , own_address(std::move(own_address))
--- a/Libraries/LibGateway/RequestExchange.cpp
+++ b/Libraries/LibGateway/RequestExchange.cpp
@@ -174,9 +174,9 @@
         // most listed endpoints may refuse. Each endpoint is tried once.
         if (error != asio::error::connection_refused)
             ++this->unsent_attempts;
-        attempt.detail = error ? "connect: " + error.message()
+        attempt.detail = error  ? "connect: " + error.message()
             : has_endpoint_left ? "endpoint left before it was sent"
-            : is_at_limit      ? "endpoint accepts no more requests for now"
+            : is_at_limit       ? "endpoint accepts no more requests for now"
                                 : "cancelled before it was sent";
         this->call->abort();
         co_return AttemptEnd::NotSent;
@@ -200,8 +200,8 @@
     if (has_body)
         forwarded.body_bytes = this->request.body().size();
     forwarded.last_event_id = this->events.last_id();
-    this->call->send(
-        Adapter::encode_request(this->request, forwarded), asio::buffer(this->request.body()), this->shared_from_this());
+    this->call->send(Adapter::encode_request(this->request, forwarded), asio::buffer(this->request.body()),
+        this->shared_from_this());
 }
 
 Task<AttemptEnd> RequestExchange::send_and_receive(Attempt& attempt)
--- a/Libraries/LibLeader/FleetPlan.cpp
+++ b/Libraries/LibLeader/FleetPlan.cpp
@@ -174,7 +174,8 @@
     auto& state = this->orders[{ order.domain, order.kind }];
     // NOTE: An order that is repeated because its servers did not start waits longer each time.
     bool const is_repeated = state.count == order.count && !state.is_refused && state.at != Instant {};
-    state.pause = is_repeated ? std::min(std::max(2 * state.pause, first_retry_pause), max_retry_pause) : Duration { 0 };
+    state.pause
+        = is_repeated ? std::min(std::max(2 * state.pause, first_retry_pause), max_retry_pause) : Duration { 0 };
     state.count = order.count;
     state.at = now;
     state.retry_at = now + state.pause;
--- a/Libraries/LibMembership/CrashMessages.cpp
+++ b/Libraries/LibMembership/CrashMessages.cpp
@@ -49,7 +49,8 @@
         || wire_message.probes_ended_size() > max_entries)
         return false;
     return std::ranges::all_of(wire_message.crashes(), [](auto const& crash) { return is_valid(crash); })
-        && std::ranges::all_of(wire_message.answering(), [](auto const& endpoint) { return is_valid_instance(endpoint); });
+        && std::ranges::all_of(
+            wire_message.answering(), [](auto const& endpoint) { return is_valid_instance(endpoint); });
 }
 
 }
--- a/Libraries/LibMembership/EndpointNoticeMessage.cpp
+++ b/Libraries/LibMembership/EndpointNoticeMessage.cpp
@@ -12,7 +12,8 @@
 
 bool is_valid(wire::EndpointNotice const& wire_message)
 {
-    bool const is_valid_limit = !wire_message.has_limit_per_s() || (std::isfinite(wire_message.limit_per_s()) && wire_message.limit_per_s() >= 0);
+    bool const is_valid_limit = !wire_message.has_limit_per_s()
+        || (std::isfinite(wire_message.limit_per_s()) && wire_message.limit_per_s() >= 0);
     return is_valid_limit && wire_message.version() > 0 && is_valid_instance(wire_message.endpoint());
 }
 
@@ -21,8 +22,8 @@
     /// Greater ages make no difference.
     constexpr std::uint64_t max_age = std::chrono::microseconds(std::chrono::hours(24)).count();
     Core::Duration const age { static_cast<Core::Duration::rep>(std::min(wire_message.told_us_ago(), max_age)) };
-    Routing::EndpointNotice notice { read_instance(wire_message.endpoint()), wire_message.version(), { {}, wire_message.is_draining() },
-        now - age };
+    Routing::EndpointNotice notice { read_instance(wire_message.endpoint()), wire_message.version(),
+        { {}, wire_message.is_draining() }, now - age };
     if (wire_message.has_limit_per_s())
         notice.condition.limit.per_second = wire_message.limit_per_s();
     return notice;
--- a/Tests/LibGateway/TestControlRecords.cpp
+++ b/Tests/LibGateway/TestControlRecords.cpp
@@ -257,7 +257,8 @@
     Box relay(1);
     relay.read(1, { endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e") }, at(1000));
     auto const share_after = [&](std::string const& requester_domain, Routing::WorkTotals const& work, Instant now) {
-        Membership::ControlRequest const question { 0, 0, 1, "of " + requester_domain, { { "s", work } }, requester_domain };
+        Membership::ControlRequest const question { 0, 0, 1, "of " + requester_domain, { { "s", work } },
+            requester_domain };
         auto const answer = relay.records.answer(question, any_length, now);
         REQUIRE(answer);
         return relay.state.router.answer_shares(now).at("s");
@@ -367,7 +368,8 @@
 
 }
 
-TEST_CASE("relays pass on the start time of an endpoint, and records without one or of an earlier instance don't replace it")
+TEST_CASE(
+    "relays pass on the start time of an endpoint, and records without one or of an earlier instance don't replace it")
 {
     Box relay(1);
     Box requester(2);
--- a/Tests/LibGateway/TestCrashNews.cpp
+++ b/Tests/LibGateway/TestCrashNews.cpp
@@ -37,8 +37,8 @@
         for (std::size_t index = 0; index < count; ++index)
             this->boxes.push_back(std::make_unique<Box>(this->context));
         for (auto& box : this->boxes) {
-            box->exchange.set_transport([this, sender = box.get()](
-                                   auto const& bytes, Audience audience) { this->deliver(*sender, bytes, audience); },
+            box->exchange.set_transport([this, sender = box.get()](auto const& bytes,
+                                            Audience audience) { this->deliver(*sender, bytes, audience); },
                 [this](auto const& key, auto const& value) { this->write(key, value); });
             asio::co_spawn(this->context, box->exchange.run(), asio::detached);
         }
--- a/Tests/LibGateway/TestStoreFollower.cpp
+++ b/Tests/LibGateway/TestStoreFollower.cpp
@@ -166,8 +166,8 @@
     REQUIRE(run_until(box.context, [&] { return box.version() == 2 && box.store.targets.size() > 3; }));
     box.follower.set_address(moved.address());
     auto const changed_at = Core::monotonic_now();
-    REQUIRE(run_until(
-        box.context, [&] { return !moved.targets.empty() || Core::monotonic_now() - changed_at > std::chrono::seconds(2); }));
+    REQUIRE(run_until(box.context,
+        [&] { return !moved.targets.empty() || Core::monotonic_now() - changed_at > std::chrono::seconds(2); }));
     CHECK_FALSE(moved.targets.empty());
 }
 
